--- a/src/egretrail/dispatch/__init__.py
+++ b/src/egretrail/dispatch/__init__.py
@@ -4,7 +4,7 @@
 arrives as values.
 """
 
-from egretrail.dispatch._crashers import CrashingRequests, RequestDigest, request_digest
+from egretrail.dispatch._crashing_requests import CrashingRequests, RequestDigest, request_digest
 from egretrail.dispatch._durations import ServiceDurations
 from egretrail.dispatch._limits import LimitPlace, StatedLimit, UpstreamLimits
 from egretrail.dispatch._load import FleetLoad
@@ -21,9 +21,9 @@
     account_key,
     news_of,
 )
-from egretrail.dispatch._repeats import RepeatBudget, RepeatCounts
-from egretrail.dispatch._shares import SlotShares
-from egretrail.dispatch._sizes import AnswerSizes
+from egretrail.dispatch._response_sizes import AnswerSizes
+from egretrail.dispatch._retry_budget import RepeatBudget, RepeatCounts
+from egretrail.dispatch._slot_shares import SlotShares
 from egretrail.dispatch._suspicion import FIRST_PAUSE_S, DoubtRecord, Standing, SuspicionBook
 from egretrail.dispatch._trials import TrialPace
 
--- a/src/egretrail/dispatch/_limits.py
+++ b/src/egretrail/dispatch/_limits.py
@@ -1,9 +1,10 @@
-"""Which requests an upstream may get that has named a limit for the whole fleet.
+"""Rate limits that upstreams advertise for the whole fleet, divided between its instances.
 
-Load: an upstream in need takes one or two requests a second from a fleet of forty instances that
-would send it four. Instances that each keep to the limit send forty times as much, and counts
-that are told come too late for it. So a few instances, by rank, share the limit, each with a token
-bucket of its own, and the others send nothing.
+An overloaded upstream accepts one or two requests a second from a fleet of forty instances that
+would send it four. If each instance kept to the limit on its own, the fleet would send forty times
+as much, and request counts that peers exchange arrive too late to prevent that. So a few instances,
+chosen by rank, share the limit. Each of them has a token bucket of its own, and the other instances
+send nothing.
 """
 
 import math
@@ -12,214 +13,228 @@
 
 from egretrail.traffic import UpstreamRecord
 
-#: An instance's share of a limit is at least this much, or it has none: each share holds one token
-#: at least, so that many small ones would pass a small limit in a burst.
+#: Smallest share of a limit; an instance with less than this gets no share. Each share holds at
+#: least one token, so many small shares would exceed a small limit in a burst.
 _SHARE_MIN_PER_S = 0.5
-#: The tokens that all shares together hold at the most: those of so many seconds of the limit and
-#: so many more. Requests come in clumps, and what overflows a bucket is lost to all.
+#: Upper bound of the tokens in all buckets together: this many seconds of the limit, and this many
+#: requests more. Requests arrive in bursts, and tokens that overflow one bucket are lost to the
+#: whole fleet.
 _BURST_S, _BURST_REQUESTS = 2.0, 2.0
-#: A limit below this is taken as this: the end of a limit shows in answers only.
+#: Lower limits are raised to this rate: only responses show that a limit has ended.
 _LIMIT_MIN_PER_S = 0.1
-#: An answer that names no limit ends one that was not named for this long: answers that were made
-#: before it was named may come after others.
-_ENDED_AFTER_S = 0.5
-#: A limit that nobody has named again for this long is forgotten: its end may have been missed.
-_KEPT_S = 30.0
-#: A limit that goes on is told to the others this often, and at once where it changed by this part.
-_TOLD_AGAIN_S = 5.0
-_CHANGE_TOLD = 0.1
-#: A share is worked out again after this time: ranking a zone takes a hash for each instance.
-_SHARE_KEPT_S = 0.25
-#: Retry-After where no upstream has a token left here.
+#: A response without a limit ends an advertised limit only after this time without confirmation.
+#: Responses that were made before the upstream set the limit may arrive after those that advertise
+#: it.
+_REMOVAL_GRACE_S = 0.5
+#: A limit that has not been advertised for this long is dropped: its end may have been missed.
+_EXPIRY_S = 30.0
+#: An unchanged limit is published to the peers this often, and at once if it changed by more than
+#: this ratio.
+_REPUBLISH_INTERVAL_S = 5.0
+_REPUBLISH_CHANGE = 0.1
+#: How long a computed share is valid: ranking a zone's instances takes a hash for each of them.
+_SHARE_TTL_S = 0.25
+#: Bounds of Retry-After if no upstream has a token left on this instance.
 _RETRY_MIN_S, _RETRY_MAX_S = 0.1, 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitShare:
-    """What one instance may send to an upstream with a limit."""
+    """The part of an upstream's limit that one instance may use."""
 
-    #: Requests a second; 0 for none.
+    #: Requests per second; 0 for no share.
     rate_per_s: float = 0.0
-    #: Requests that it may send at once after it sent none for a while.
+    #: Requests that it may send at once after an idle period.
     burst: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitPlace:
-    """The place of this instance among those that share an upstream's limit."""
+    """Position of this instance among those that share an upstream's limit."""
 
-    #: Whether the instances of this zone share it where it is too small for all.
+    #: Whether the instances of this zone share the limit if it is too small for the whole fleet.
     is_responsible: bool
-    #: This instance's rank among its zone's for this upstream; 0 is the first.
+    #: Rank of this instance in its zone for this upstream; 0 is the first.
     rank: int
-    #: The living instances of this zone, and of the whole fleet.
+    #: Number of living instances in this zone, and in the whole fleet.
     zone_size: int
     fleet_size: int
-    #: The part of the fleet that is known to live: who is cut off has the same part of a limit.
+    #: Part of the fleet that is known to be alive; a partitioned instance counts on the same part
+    #: of a limit.
     known_share: float
 
     def share(self, limit_per_s: float) -> LimitShare:
         """Return this instance's share of a limit."""
         known_per_s = limit_per_s * self.known_share
         if known_per_s >= self.fleet_size * _SHARE_MIN_PER_S:
-            return _share_of(self.fleet_size, known_per_s)
+            return _equal_share(self.fleet_size, known_per_s)
         holders = max(min(math.ceil(known_per_s / _SHARE_MIN_PER_S), self.zone_size), 1)
         if not self.is_responsible or self.rank >= holders:
             return LimitShare()
-        return _share_of(holders, known_per_s)
+        return _equal_share(holders, known_per_s)
 
 
-def _share_of(holders: int, limit_per_s: float) -> LimitShare:
+def _equal_share(holders: int, limit_per_s: float) -> LimitShare:
     burst = limit_per_s * _BURST_S + _BURST_REQUESTS
     return LimitShare(limit_per_s / holders, max(burst / holders, 1.0))
 
 
 @dataclass(frozen=True, slots=True)
 class StatedLimit:
-    """What an upstream said of its limit."""
+    """A limit that an upstream advertised."""
 
-    #: The lifetime of the upstream.
+    #: Id of the upstream's lifetime.
     upstream_id: str
-    #: The requests a second that it takes from all instances; None for no limit.
+    #: Requests per second that it accepts from all instances together; None for no limit.
     limit_per_s: float | None
-    #: When it said so, by this instance's clock.
+    #: When it advertised the limit, by this instance's clock.
     stated_s: float
 
 
 @dataclass(slots=True)
-class _Limit:
-    """What is known of one upstream's limit."""
-
-    #: The last statement.
-    stated: StatedLimit
-    #: What was told to the others last, and when; None for nothing.
-    told: StatedLimit | None = None
-    #: This instance's share of it, and until when it is not worked out again.
+class _LimitState:
+    """State of one upstream's limit."""
+
+    #: The newest advertisement.
+    advertised: StatedLimit
+    #: The advertisement that was last published to the peers; None if none was.
+    published: StatedLimit | None = None
+    #: This instance's share of the limit, and the time until which it is valid.
     share: LimitShare = LimitShare()
     share_until_s: float = float("-inf")
-    #: The requests that may be sent now, and when they were counted last.
+    #: Tokens left, and when they were last refilled.
     tokens: float = 0.0
     refilled_s: float = 0.0
 
 
 class UpstreamLimits:
-    """The limits that upstreams have named, and this instance's shares of them."""
+    """The limits that upstreams advertised, and this instance's shares of them."""
 
-    def __init__(self, place: Callable[[UpstreamRecord], LimitPlace]) -> None:
-        self._place = place
-        self._limits: dict[str, _Limit] = {}
+    def __init__(self, position: Callable[[UpstreamRecord], LimitPlace]) -> None:
+        self._position = position
+        self._limits: dict[str, _LimitState] = {}
 
     def named(
         self, upstream_id: str, limit_per_s: float | None, now_s: float
     ) -> StatedLimit | None:
-        """Take what an answer to this instance says; return it where the others should hear."""
+        """Record the limit in a response to this instance; return it if peers must be notified."""
         known = self._limits.get(upstream_id)
         if limit_per_s is None:
-            held = known is not None and known.stated.limit_per_s is not None
-            if not held or known is None or now_s - known.stated.stated_s < _ENDED_AFTER_S:
+            is_limited = known is not None and known.advertised.limit_per_s is not None
+            if (
+                not is_limited
+                or known is None
+                or now_s - known.advertised.stated_s < _REMOVAL_GRACE_S
+            ):
                 return None
-        stated = StatedLimit(upstream_id, limit_per_s, now_s)
-        limit = self._take(stated, now_s)
-        if limit.told is not None and not _is_news(stated, limit.told):
+        advertised = StatedLimit(upstream_id, limit_per_s, now_s)
+        limit = self._record(advertised, now_s)
+        if limit.published is not None and not _must_publish(advertised, limit.published):
             return None
-        limit.told = stated
-        return stated
+        limit.published = advertised
+        return advertised
 
-    def hear(self, stated: StatedLimit, now_s: float) -> bool:
-        """Take what an upstream said to another instance; return whether it is newer."""
-        known = self._limits.get(stated.upstream_id)
-        if known is not None and stated.stated_s <= known.stated.stated_s:
+    def hear(self, advertised: StatedLimit, now_s: float) -> bool:
+        """Apply a limit advertised to another instance; return whether it is newer."""
+        known = self._limits.get(advertised.upstream_id)
+        if known is not None and advertised.stated_s <= known.advertised.stated_s:
             return False
-        self._take(stated, now_s).told = stated
+        self._record(advertised, now_s).published = advertised
         return True
 
     def limit_per_s(self, upstream_id: str) -> float | None:
-        """Return the limit of an upstream; None for none."""
+        """Return the limit of an upstream; None for no limit."""
         known = self._limits.get(upstream_id)
-        return None if known is None else known.stated.limit_per_s
+        return None if known is None else known.advertised.limit_per_s
 
     def count(self) -> int:
         """Return the number of upstreams with a limit."""
-        return sum(one.stated.limit_per_s is not None for one in self._limits.values())
+        return sum(limit.advertised.limit_per_s is not None for limit in self._limits.values())
 
     def admits(self, record: UpstreamRecord, now_s: float, *, spare_only: bool = False) -> bool:
-        """Return whether an upstream may be sent a request now.
+        """Return whether a request may be sent to an upstream now.
 
-        ``spare_only`` is set for second copies, which would take the tokens of first ones.
+        ``spare_only`` is set for hedged requests, which must not take tokens from other requests.
         """
-        limit = self._in_force(record, now_s)
+        limit = self._active_limit(record, now_s)
         if limit is None:
             return True
         return not spare_only and self._refill(limit, record, now_s) >= 1.0
 
     def sent(self, record: UpstreamRecord, now_s: float) -> None:
-        """Count a request that is sent to an upstream."""
-        limit = self._in_force(record, now_s)
+        """Take a token for a request that is sent to an upstream."""
+        limit = self._active_limit(record, now_s)
         if limit is not None:
             limit.tokens = max(self._refill(limit, record, now_s) - 1.0, -1.0)
 
     def retry_after_s(self, records: Iterable[UpstreamRecord], now_s: float) -> float:
-        """Return when to come back to upstreams of which none may be sent a request now.
+        """Return when to retry, if no request may be sent to any of the upstreams now.
 
-        That is when this instance may send one; where it has no share, when any instance may.
+        This is the time until this instance gets a token. If it has no share, it is the time until
+        any instance gets one.
         """
         waits_s = []
         limits_per_s = 0.0
         for record in records:
-            limit = self._in_force(record, now_s)
-            if limit is None or limit.stated.limit_per_s is None:
+            limit = self._active_limit(record, now_s)
+            if limit is None or limit.advertised.limit_per_s is None:
                 continue
-            limits_per_s += limit.stated.limit_per_s
-            rate_per_s = self._share(limit, record, now_s).rate_per_s
+            limits_per_s += limit.advertised.limit_per_s
+            rate_per_s = self._current_share(limit, record, now_s).rate_per_s
             if rate_per_s > 0:
                 waits_s.append((1.0 - self._refill(limit, record, now_s)) / rate_per_s)
-        anywhere_s = 1.0 / limits_per_s if limits_per_s > 0 else _RETRY_MIN_S
-        return min(max(min(waits_s, default=anywhere_s), _RETRY_MIN_S), _RETRY_MAX_S)
+        fleet_wait_s = 1.0 / limits_per_s if limits_per_s > 0 else _RETRY_MIN_S
+        return min(max(min(waits_s, default=fleet_wait_s), _RETRY_MIN_S), _RETRY_MAX_S)
 
     def keep_only(self, upstream_ids: Iterable[str]) -> None:
-        """Forget upstreams that are no longer listed."""
+        """Remove upstreams that are no longer listed."""
         for upstream_id in self._limits.keys() - set(upstream_ids):
             del self._limits[upstream_id]
 
-    def _take(self, stated: StatedLimit, now_s: float) -> _Limit:
-        limit = self._limits.get(stated.upstream_id)
+    def _record(self, advertised: StatedLimit, now_s: float) -> _LimitState:
+        limit = self._limits.get(advertised.upstream_id)
         if limit is None:
-            limit = self._limits[stated.upstream_id] = _Limit(stated, tokens=1.0, refilled_s=now_s)
-        elif limit.stated.limit_per_s is None:
+            limit = self._limits[advertised.upstream_id] = _LimitState(
+                advertised, tokens=1.0, refilled_s=now_s
+            )
+        elif limit.advertised.limit_per_s is None:
             limit.tokens, limit.refilled_s = 0.0, now_s
-        limit.stated = stated
+        limit.advertised = advertised
         limit.share_until_s = now_s
         return limit
 
-    def _in_force(self, record: UpstreamRecord, now_s: float) -> _Limit | None:
+    def _active_limit(self, record: UpstreamRecord, now_s: float) -> _LimitState | None:
         limit = self._limits.get(record.id)
-        if limit is None or limit.stated.limit_per_s is None:
+        if limit is None or limit.advertised.limit_per_s is None:
             return None
-        return limit if now_s - limit.stated.stated_s <= _KEPT_S else None
+        return limit if now_s - limit.advertised.stated_s <= _EXPIRY_S else None
 
-    def _share(self, limit: _Limit, record: UpstreamRecord, now_s: float) -> LimitShare:
+    def _current_share(
+        self, limit: _LimitState, record: UpstreamRecord, now_s: float
+    ) -> LimitShare:
         if now_s >= limit.share_until_s:
-            limit_per_s = max(limit.stated.limit_per_s or 0.0, _LIMIT_MIN_PER_S)
-            limit.share = self._place(record).share(limit_per_s)
-            limit.share_until_s = now_s + _SHARE_KEPT_S
+            limit_per_s = max(limit.advertised.limit_per_s or 0.0, _LIMIT_MIN_PER_S)
+            limit.share = self._position(record).share(limit_per_s)
+            limit.share_until_s = now_s + _SHARE_TTL_S
         return limit.share
 
-    def _refill(self, limit: _Limit, record: UpstreamRecord, now_s: float) -> float:
-        share = self._share(limit, record, now_s)
+    def _refill(self, limit: _LimitState, record: UpstreamRecord, now_s: float) -> float:
+        share = self._current_share(limit, record, now_s)
         if share.rate_per_s > 0:
-            earned = (now_s - limit.refilled_s) * share.rate_per_s
-            limit.tokens = min(limit.tokens + earned, share.burst)
+            accrued = (now_s - limit.refilled_s) * share.rate_per_s
+            limit.tokens = min(limit.tokens + accrued, share.burst)
         else:
-            # Whoever takes over from another one begins with nothing.
+            # An instance that takes over a share starts with an empty bucket.
             limit.tokens = 0.0
         limit.refilled_s = now_s
         return limit.tokens
 
 
-def _is_news(stated: StatedLimit, told: StatedLimit) -> bool:
-    if stated.limit_per_s is None or told.limit_per_s is None:
-        return stated.limit_per_s is not told.limit_per_s
-    change = abs(stated.limit_per_s - told.limit_per_s)
+def _must_publish(advertised: StatedLimit, published: StatedLimit) -> bool:
+    if advertised.limit_per_s is None or published.limit_per_s is None:
+        return advertised.limit_per_s is not published.limit_per_s
+    change = abs(advertised.limit_per_s - published.limit_per_s)
     return (
-        change > told.limit_per_s * _CHANGE_TOLD or stated.stated_s - told.stated_s >= _TOLD_AGAIN_S
+        change > published.limit_per_s * _REPUBLISH_CHANGE
+        or advertised.stated_s - published.stated_s >= _REPUBLISH_INTERVAL_S
     )
--- a/src/egretrail/dispatch/_observation.py
+++ b/src/egretrail/dispatch/_observation.py
@@ -1,37 +1,38 @@
-"""What became of one request at one upstream, as instances tell each other."""
+"""Outcome of one request at one upstream, as instances report it to each other."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Outcome(enum.IntEnum):
-    """The numbers are part of the peers' protocol and are never given a new meaning."""
+    """Outcome of a request. The numbers are part of the peer protocol and are never reused."""
 
-    #: A whole answer that does not speak against the upstream.
+    #: A complete response that is no evidence against the upstream.
     SUCCESS = 0
-    #: The upstream answered with a failure of its own, or with bytes that are no valid answer.
+    #: The upstream responded with an error of its own, or with an invalid response.
     FAILED = 1
-    #: The connection ended after the request was sent and before its answer was whole.
+    #: The connection closed after the request was sent and before the response was complete.
     BROKEN = 2
-    #: No answer after several times the usual duration; the request is still under way.
+    #: No response after several times the typical duration; the request is still in flight.
     OVERDUE = 3
     #: The upstream refused the request without running it.
     SHED = 4
-    #: No connection could be opened from the observing instance.
+    #: The observing instance could not open a connection.
     UNREACHABLE = 5
-    #: The connection ended since nothing that was sent on it was acknowledged.
+    #: The connection was closed because the upstream acknowledged nothing that was sent on it.
     SILENT = 6
-    #: The request's time ended while the upstream ran it, which says nothing about the upstream.
+    #: The request's deadline passed while the upstream ran it, which is no evidence about the
+    #: upstream.
     EXPIRED = 7
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One outcome. The receiver adds the observer's name and its own time of receipt."""
+    """An observed outcome. The receiver adds the observer's name and its own time of receipt."""
 
-    #: The lifetime of the upstream.
+    #: Id of the upstream's lifetime.
     upstream_id: str
-    #: What became of the request.
+    #: Outcome of the request.
     outcome: Outcome
-    #: From sending the request to the outcome.
+    #: Time from sending the request to the outcome.
     duration_s: float
--- a/src/egretrail/dispatch/_quotas.py
+++ b/src/egretrail/dispatch/_quotas.py
@@ -1,12 +1,13 @@
-"""How many requests of each client account the whole fleet takes.
-
-Load: one account sends many times its usual rate, from clients spread over all instances or all at
-one of them. Each instance sees a few of its requests and hears of the others' some tenths of a
-second late. Were each to take requests while the common window seems to have room, all would take
-some in the same moment, and none for seconds afterwards. So all instances keep the same window from
-what all have told, and once it is nearly full each takes a share of its own requests: what leaves
-the window over the rate at which the fleet is asked, a little more or less as the window has room
-or is overfull. That share does not depend on how the requests are spread.
+"""Admits the requests of each client account within a quota of the whole fleet.
+
+One account may send many times its typical rate, spread over all instances or all to one of them.
+Each instance sees a few of these requests and learns of the others a few tenths of a second later.
+If each admitted requests while the common window seems to have quota left, all would admit some at
+the same moment, and none for seconds afterwards. So all instances compute the same window from the
+counts that all report. Once the window is nearly full, each instance admits a share of its own
+requests. This share is the rate at which requests leave the window, divided by the rate at which
+the fleet receives them, corrected by what the window has left or has in excess. The share does not
+depend on how the requests are spread over the instances.
 """
 
 import random
@@ -15,44 +16,49 @@
 
 import xxhash
 
-from egretrail.dispatch._window import SlidingSum
+from egretrail.dispatch._sliding_window import SlidingSum
 from egretrail.traffic import ClientAccount
 
-#: Requests of the last moments of this length are the rate at which an account asks.
-_DEMAND_S = 1.0
-#: The same where a sudden rise must be seen at once; this rather overrates it.
-_RISE_S = 0.25
-#: What other instances take is known after this time at the latest; with room for all that is asked
-#: for meanwhile nobody needs to be refused.
-_TOLD_AFTER_S = 0.5
-#: Who hears less than this part of the fleet keeps to its own part of each quota.
-_MINORITY = 0.3
-#: While a window has room for this part of its limit, a burst is taken whole. With less, the limit
-#: is spread over the window: what is taken faster now is refused later.
+#: The rate at which an account sends is measured over this time.
+_DEMAND_WINDOW_S = 1.0
+#: The same for a sudden increase, which must be noticed at once; this rather overestimates the
+#: rate.
+_SURGE_WINDOW_S = 0.25
+#: Longest time until the requests that other instances admit are known. If the quota covers all
+#: requests of this time, none has to be refused.
+_REPORT_DELAY_S = 0.5
+#: An instance that receives reports from less than this part of the fleet uses only its own part of
+#: each quota.
+_MINORITY_SHARE = 0.3
+#: While the window has this part of its limit left, bursts are admitted without a check of the
+#: rate. With less, the limit is spread over the window, since what is admitted faster now is
+#: refused later.
 _BURST_SHARE = 0.5
-#: What leaves the window within this time makes room for as much.
-_LEAVING_S = 0.25
-#: The window is brought to its limit over this time.
-_SETTLE_S = 1.0
-#: This part of what a window may have beyond the quota is used; the rest covers requests that are
-#: taken and not yet told.
-_TOLERANCE_USED = 0.5
-#: An instance that hears a part of the fleet only has this multiple of that part of each quota:
-#: instances that are gone are not told apart from those that are cut off and serve on.
+#: The rate at which requests leave the window is measured over this time ahead.
+_EXPIRY_HORIZON_S = 0.25
+#: The window is corrected to its limit over this time.
+_CORRECTION_S = 1.0
+#: Part of the tolerance beyond the quota that is used. The rest covers requests that are admitted
+#: and not reported yet.
+_TOLERANCE_FACTOR = 0.5
+#: An instance that receives reports from a part of the fleet uses that part of each quota, times
+#: this factor. Instances that are gone cannot be distinguished from partitioned ones that still
+#: serve.
 _KNOWN_SHARE_FACTOR = 1.04
-#: Counts of accounts are told for this long after their last change, in case that one is lost.
-_TOLD_FOR_S = 1.0
-#: Counts are told modulo this.
+#: Counts of an account are reported for this long after their last change, in case a report is
+#: lost.
+_REPORT_FOR_S = 1.0
+#: Counts are reported modulo this.
 COUNT_MODULUS = 1 << 16
-#: An instance takes at most so many requests at once beyond the part that it is to take.
+#: Most requests that an instance admits at once in excess of its share.
 _CREDIT_MAX = 2.0
 _RETRY_MIN_S = 0.1
-#: A window of which nothing is known is filled in steps of this time.
+#: A window whose past is unknown is filled in steps of this time.
 _FILL_STEP_S = 0.25
 
 
 def account_key(name: str) -> int:
-    """Return the number of 32 bits that stands for an account where many are told at once.
+    """Return the 32-bit number that identifies an account in messages about many accounts.
 
     Two accounts that share a number have their requests counted together.
     """
@@ -61,11 +67,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountCounts:
-    """Requests of one account, modulo ``COUNT_MODULUS``."""
+    """Request counts of one account, modulo ``COUNT_MODULUS``."""
 
-    #: Requests that came.
+    #: Requests received.
     asked: int = 0
-    #: Those of them that were sent to an upstream.
+    #: The part of them that was sent to an upstream.
     sent: int = 0
 
     def plus(self, other: "AccountCounts") -> "AccountCounts":
@@ -75,7 +81,7 @@
         )
 
     def since(self, before: "AccountCounts") -> "AccountCounts":
-        """Return what was counted since earlier counts; nothing where those are the later ones."""
+        """Return the counts added since earlier ones; zero if those are in fact the later ones."""
         asked = (self.asked - before.asked) % COUNT_MODULUS
         sent = (self.sent - before.sent) % COUNT_MODULUS
         if max(asked, sent) >= COUNT_MODULUS // 2:
@@ -85,79 +91,79 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountReport:
-    """What an instance or a zone has counted of one account."""
+    """Counts of one account by an instance or a zone."""
 
-    #: All that it counted.
+    #: All requests counted.
     total: AccountCounts
-    #: What it counted in the last moments: all that is new to who has no earlier report.
+    #: Requests of the last demand window: the new ones for a receiver that has no earlier report.
     recent: AccountCounts
 
 
 class CountedAccount:
-    """Counts of one account, with those of the last moments."""
+    """Counter of one account's requests, in total and in the last demand window."""
 
-    __slots__ = ("_asked", "_sent", "changed_s", "total")
+    __slots__ = ("_received", "_sent", "changed_s", "total")
 
     def __init__(self) -> None:
-        #: All that was counted.
+        #: All requests counted.
         self.total = AccountCounts()
-        #: When it was last added to.
+        #: Time of the last addition.
         self.changed_s = float("-inf")
-        self._asked = SlidingSum(_DEMAND_S)
-        self._sent = SlidingSum(_DEMAND_S)
+        self._received = SlidingSum(_DEMAND_WINDOW_S)
+        self._sent = SlidingSum(_DEMAND_WINDOW_S)
 
     def add(self, counts: AccountCounts, now_s: float) -> None:
-        """Add counts at a time that is not before that of earlier calls."""
+        """Add counts; ``now_s`` must not be before that of earlier calls."""
         self.total = self.total.plus(counts)
         self.changed_s = now_s
-        self._asked.add(counts.asked, now_s)
+        self._received.add(counts.asked, now_s)
         self._sent.add(counts.sent, now_s)
 
     def asked(self, now_s: float) -> int:
-        """Return the requests that came in the last moments."""
-        return self._asked.total(now_s)
+        """Return the requests received in the last demand window."""
+        return self._received.total(now_s)
 
     def report(self, now_s: float) -> AccountReport:
-        """Return what others are told."""
-        recent = AccountCounts(self._asked.total(now_s), self._sent.total(now_s))
+        """Return the report for other instances."""
+        recent = AccountCounts(self._received.total(now_s), self._sent.total(now_s))
         return AccountReport(self.total, recent)
 
     def is_told(self, now_s: float) -> bool:
-        """Return whether it changed so lately that others may not have heard."""
-        return now_s - self.changed_s <= _TOLD_FOR_S
+        """Return whether it changed so recently that other instances may not know."""
+        return now_s - self.changed_s <= _REPORT_FOR_S
 
 
 def news_of(report: AccountReport, before: AccountCounts | None) -> AccountCounts:
-    """Return what a report tells beyond an earlier one of the same teller; None for none."""
+    """Return what a report adds to the last one of the same sender; None if there is none."""
     return report.recent if before is None else report.total.since(before)
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaTerms:
-    """In which time quotas hold, and how far they may be passed."""
+    """The window of quotas, and by how much a window may exceed its quota."""
 
     #: The sliding window in which requests are counted.
     window_s: float = 5.0
-    #: The part of a quota that a window may have beyond it.
+    #: The part of a quota by which a window may exceed it.
     over: float = 0.0
-    #: Requests that a window may have beyond that.
+    #: The number of requests by which a window may exceed it in addition.
     slack: float = 0.0
 
     def limit(self, account: ClientAccount) -> float:
-        """Return how many requests of an account are taken in a window."""
+        """Return how many requests of an account are admitted in a window."""
         quota = account.rate_per_s * self.window_s + account.burst
-        return quota + (quota * self.over + self.slack) * _TOLERANCE_USED
+        return quota + (quota * self.over + self.slack) * _TOLERANCE_FACTOR
 
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """A request that its account's quota has no room for."""
+    """A request that its account's quota does not admit."""
 
-    #: When there may be room again.
+    #: When the quota may admit requests again.
     retry_after_s: float
-    #: The requests that the window has room for now; below 0 where it is overfull.
+    #: Requests that the window has left now; negative if it exceeds its limit.
     room: float
-    #: The requests a second that the fleet is asked for.
+    #: Requests per second that the fleet receives of the account.
     demand_per_s: float
 
 
@@ -165,72 +171,73 @@
 class _Window:
     """The common window of one account, as this instance knows it."""
 
-    #: What others tell that was sent, this instance's requests included.
+    #: Sent requests that zones reported, including those of this instance.
     sent: SlidingSum
-    #: What this instance sent in the window.
+    #: Requests that this instance sent in the window.
     own_sent: SlidingSum
-    #: All requests of this instance, and those of them that are in what the others tell.
+    #: All requests of this instance, and the part of them that the zone's reports include.
     own: CountedAccount = field(default_factory=CountedAccount)
     acknowledged: AccountCounts = AccountCounts()
-    #: Requests that the fleet was asked for.
-    asked: SlidingSum = field(default_factory=lambda: SlidingSum(_DEMAND_S))
-    asked_now: SlidingSum = field(default_factory=lambda: SlidingSum(_RISE_S))
-    #: The demand while all zones were last heard.
-    heard_demand_per_s: float = 0.0
-    #: The part of a request that this instance may take beyond those that it took.
+    #: Requests that the fleet received.
+    received: SlidingSum = field(default_factory=lambda: SlidingSum(_DEMAND_WINDOW_S))
+    received_surge: SlidingSum = field(default_factory=lambda: SlidingSum(_SURGE_WINDOW_S))
+    #: The demand when all zones last reported.
+    last_demand_per_s: float = 0.0
+    #: The fraction of a request that this instance may admit beyond those that it admitted.
     credit: float = 0.0
 
-    def pending(self) -> AccountCounts:
-        """Return this instance's requests that the others have not told back."""
+    def unacknowledged(self) -> AccountCounts:
+        """Return this instance's requests that the zone's reports do not include yet."""
         return self.own.total.since(self.acknowledged)
 
-    def takes_one(self, part: float) -> bool:
-        """Return whether a request is among the part of this instance's requests to be taken."""
-        self.credit = min(self.credit + part, _CREDIT_MAX)
+    def admits_next(self, share_admitted: float) -> bool:
+        """Return whether the next request is within the share to be admitted."""
+        self.credit = min(self.credit + share_admitted, _CREDIT_MAX)
         if self.credit < 1.0:
             return False
         self.credit -= 1.0
         return True
 
     def used(self, now_s: float) -> int:
-        """Return the requests in the window."""
-        pending = min(self.pending().sent, self.own_sent.total(now_s))
-        return self.sent.total(now_s) + pending
+        """Return the number of requests in the window."""
+        unacknowledged = min(self.unacknowledged().sent, self.own_sent.total(now_s))
+        return self.sent.total(now_s) + unacknowledged
 
 
 @dataclass(frozen=True, slots=True)
-class _Room:
-    """What a window has room for."""
+class _RemainingQuota:
+    """What a window has left of its limit."""
 
-    #: The requests that may be taken now; below 0 where it is overfull.
+    #: Requests that may be admitted now; negative if the window exceeds its limit.
     requests: float
-    #: How fast that grows with the requests that leave the window.
+    #: The rate at which this grows as requests leave the window.
     growth_per_s: float
 
 
 class AccountQuotas:
-    """Admits requests of accounts with a quota."""
+    """Admits requests of accounts that have a quota."""
 
     def __init__(self, terms: QuotaTerms, rng: random.Random) -> None:
         self._terms = terms
         self._rng = rng
         self._windows: dict[int, _Window] = {}
-        #: The part of the fleet that was not heard, by time: microseconds of the whole fleet.
-        self._unheard_us = SlidingSum(terms.window_s)
-        self._shared_s = float("inf")
-        #: The last counts that others told, by teller and account.
-        self._told: dict[str, dict[int, AccountCounts]] = {}
+        #: The part of the fleet without reports, integrated over time: microseconds of the whole
+        #: fleet.
+        self._unreachable_us = SlidingSum(terms.window_s)
+        self._share_updated_s = float("inf")
+        #: The last counts that zones reported, by lifetime of the hub and account.
+        self._last_totals: dict[str, dict[int, AccountCounts]] = {}
 
     def set_terms(self, terms: QuotaTerms) -> None:
-        """Change the window and what it may have beyond the quota."""
+        """Change the window and its tolerance beyond the quota."""
         self._terms = terms
-        self._unheard_us.set_window(terms.window_s)
+        self._unreachable_us.set_window(terms.window_s)
         for window in self._windows.values():
             window.sent.set_window(terms.window_s)
             window.own_sent.set_window(terms.window_s)
 
     def set_accounts(self, accounts: Iterable[ClientAccount], now_s: float) -> None:
-        """Take the accounts of a configuration; those with a quota keep what they have used."""
+        """Set the accounts of a configuration; those with a quota keep their usage."""
         before, self._windows = self._windows, {}
         for account in accounts:
             if not account.is_limited:
@@ -241,38 +248,38 @@
     def admit(
         self, account: ClientAccount, now_s: float, known_share: float, *, hears_all: bool
     ) -> OverQuota | None:
-        """Count a request that came; return why it is refused, or None.
+        """Count a received request; return why it is refused, or None.
 
-        ``known_share`` is the part of the fleet that is heard, and ``hears_all`` False while a
-        zone that is counted in it tells nothing.
+        ``known_share`` is the part of the fleet whose reports arrive. ``hears_all`` is False while
+        a zone that is included in this part sends no reports.
         """
         window = self._windows.get(account_key(account.name))
         if window is None:
             return None
         window.own.add(AccountCounts(asked=1), now_s)
         share = min(known_share * _KNOWN_SHARE_FACTOR, 1.0)
-        self._count_unheard(share, now_s)
-        room = self._room(window, self._terms.limit(account), share, now_s)
+        self._record_unreachable(share, now_s)
+        remaining = self._remaining(window, self._terms.limit(account), share, now_s)
         demand_per_s = self._demand(window, now_s, share, hears_all=hears_all)
         limit = self._terms.limit(account)
         limit_per_s = limit / self._terms.window_s
-        is_calm = hears_all and share >= _MINORITY
-        if is_calm and room.requests >= limit * _BURST_SHARE:
-            rising_per_s = max(window.asked_now.total(now_s) / _RISE_S, demand_per_s)
-            if room.requests >= rising_per_s * _TOLD_AFTER_S:
+        is_calm = hears_all and share >= _MINORITY_SHARE
+        if is_calm and remaining.requests >= limit * _BURST_SHARE:
+            surge_per_s = max(window.received_surge.total(now_s) / _SURGE_WINDOW_S, demand_per_s)
+            if remaining.requests >= surge_per_s * _REPORT_DELAY_S:
                 return None
-        takes_per_s = room.growth_per_s + room.requests / _SETTLE_S
-        if is_calm and room.requests >= limit_per_s * _TOLD_AFTER_S:
-            takes_per_s = max(room.growth_per_s, limit_per_s)
+        admitted_per_s = remaining.growth_per_s + remaining.requests / _CORRECTION_S
+        if is_calm and remaining.requests >= limit_per_s * _REPORT_DELAY_S:
+            admitted_per_s = max(remaining.growth_per_s, limit_per_s)
         if not hears_all:
-            # What the others take meanwhile is not in the window.
-            takes_per_s = min(takes_per_s, limit_per_s * share)
-        taken = max(takes_per_s, 0.0) / max(demand_per_s, 1.0)
-        if window.takes_one(taken):
+            # What the other instances admit meanwhile is not in the window.
+            admitted_per_s = min(admitted_per_s, limit_per_s * share)
+        admitted_share = max(admitted_per_s, 0.0) / max(demand_per_s, 1.0)
+        if window.admits_next(admitted_share):
             return None
-        # Callers that are refused at the same time come back one after the other.
-        wait_s = (1.0 - taken) * _SETTLE_S * (0.5 + self._rng.random())
-        return OverQuota(max(wait_s, _RETRY_MIN_S), room.requests, demand_per_s)
+        # Spread the retries of clients that are refused at the same time.
+        wait_s = (1.0 - admitted_share) * _CORRECTION_S * (0.5 + self._rng.random())
+        return OverQuota(max(wait_s, _RETRY_MIN_S), remaining.requests, demand_per_s)
 
     def sent(self, account: ClientAccount, now_s: float) -> None:
         """Count a request that is sent to an upstream for the first time."""
@@ -282,7 +289,7 @@
             window.own_sent.add(1, now_s)
 
     def own_reports(self, now_s: float) -> Mapping[int, AccountReport]:
-        """Return this instance's counts that changed lately, for the others."""
+        """Return this instance's counts that changed recently, for other instances."""
         return {
             key: window.own.report(now_s)
             for key, window in self._windows.items()
@@ -290,73 +297,77 @@
         }
 
     def acknowledged(self, reports: Mapping[int, AccountReport]) -> None:
-        """Take which counts of this instance are in what its zone tells."""
+        """Record which counts of this instance are included in the reports of its zone."""
         for key, report in reports.items():
             window = self._windows.get(key)
             if window is not None:
                 new = report.total.since(window.acknowledged)
                 window.acknowledged = window.acknowledged.plus(new)
 
-    def told(self, teller: str, reports: Mapping[int, AccountReport], now_s: float) -> None:
-        """Take the sums of a zone, by the lifetime of its hub; what changed since is new."""
-        held = self._told.setdefault(teller, {})
+    def told(self, hub_lifetime: str, reports: Mapping[int, AccountReport], now_s: float) -> None:
+        """Apply the aggregates of a zone, by the lifetime of its hub; the difference is new."""
+        known = self._last_totals.setdefault(hub_lifetime, {})
         for key, report in reports.items():
-            before = held.get(key)
+            before = known.get(key)
             new = news_of(report, before)
-            held[key] = report.total if before is None else before.plus(new)
+            known[key] = report.total if before is None else before.plus(new)
             window = self._windows.get(key)
             if window is not None:
                 window.sent.add(new.sent, now_s)
                 window.asked.add(new.asked, now_s)
-                window.asked_now.add(new.asked, now_s)
+                window.received_surge.add(new.asked, now_s)
 
-    def forget(self, teller: str) -> None:
-        """Drop a hub that is gone."""
-        self._told.pop(teller, None)
+    def forget(self, hub_lifetime: str) -> None:
+        """Remove a hub that is gone."""
+        self._last_totals.pop(hub_lifetime, None)
 
-    def _room(self, window: _Window, limit: float, share: float, now_s: float) -> _Room:
-        """Return what a window has room for, for an instance that hears a share of the fleet.
+    def _remaining(
+        self, window: _Window, limit: float, share: float, now_s: float
+    ) -> _RemainingQuota:
+        """Return what a window has left, for an instance that knows a share of the fleet.
 
-        Instances that vanish are taken as cut off and as using their part of each quota from then
-        on. What they had told before stays counted, so no account loses room at once.
+        Instances that vanish are treated as partitioned, and as using their part of each quota from
+        then on. What they reported before stays counted, so no account loses quota at once.
         """
-        if share < _MINORITY:
-            # Who is cut off knows of nobody's requests but its own.
+        if share < _MINORITY_SHARE:
+            # A partitioned instance knows only of its own requests.
             own = window.own_sent
-            leaving_per_s = own.leaving(now_s, _LEAVING_S) / _LEAVING_S
-            return _Room(limit * share - own.total(now_s), leaving_per_s)
+            expiring_per_s = own.expiring(now_s, _EXPIRY_HORIZON_S) / _EXPIRY_HORIZON_S
+            return _RemainingQuota(limit * share - own.total(now_s), expiring_per_s)
         window_s = self._terms.window_s
-        unheard = self._unheard_us.total(now_s) / 1e6 / window_s
-        ending = self._unheard_us.leaving(now_s, _LEAVING_S) / 1e6 / _LEAVING_S
-        leaving_per_s = window.sent.leaving(now_s, _LEAVING_S) / _LEAVING_S
-        return _Room(
-            limit * (1.0 - min(unheard, 1.0)) - window.used(now_s),
-            leaving_per_s - limit * (1.0 - share - ending) / window_s,
+        unreachable = self._unreachable_us.total(now_s) / 1e6 / window_s
+        unreachable_expiring = (
+            self._unreachable_us.expiring(now_s, _EXPIRY_HORIZON_S) / 1e6 / _EXPIRY_HORIZON_S
+        )
+        expiring_per_s = window.sent.expiring(now_s, _EXPIRY_HORIZON_S) / _EXPIRY_HORIZON_S
+        return _RemainingQuota(
+            limit * (1.0 - min(unreachable, 1.0)) - window.used(now_s),
+            expiring_per_s - limit * (1.0 - share - unreachable_expiring) / window_s,
         )
 
-    def _count_unheard(self, share: float, now_s: float) -> None:
-        passed_s = max(min(now_s - self._shared_s, self._terms.window_s), 0.0)
-        self._shared_s = now_s
-        self._unheard_us.add(int((1.0 - share) * passed_s * 1e6), now_s)
+    def _record_unreachable(self, share: float, now_s: float) -> None:
+        passed_s = max(min(now_s - self._share_updated_s, self._terms.window_s), 0.0)
+        self._share_updated_s = now_s
+        self._unreachable_us.add(int((1.0 - share) * passed_s * 1e6), now_s)
 
     def _demand(self, window: _Window, now_s: float, share: float, *, hears_all: bool) -> float:
-        """Return at which rate the part of the fleet is asked that shares a part of the quota.
+        """Return the rate of received requests, for the part of the fleet that is known.
 
-        An instance that is cut off sees its own requests only. Until the silence tells it how large
-        its part is, it goes on with the demand that it heard of last.
+        A partitioned instance sees its own requests only. Until missing heartbeats show how large
+        its part of the fleet is, it uses the last demand that it learned from all zones.
         """
         asked = window.asked.total(now_s)
-        asked += min(window.pending().asked, window.own.asked(now_s))
-        demand_per_s = asked / _DEMAND_S
+        asked += min(window.unacknowledged().asked, window.own.asked(now_s))
+        demand_per_s = asked / _DEMAND_WINDOW_S
         if hears_all:
-            window.heard_demand_per_s = demand_per_s
+            window.last_demand_per_s = demand_per_s
             return demand_per_s
-        return max(demand_per_s, window.heard_demand_per_s * share)
+        return max(demand_per_s, window.last_demand_per_s * share)
 
     def _new_window(self, account: ClientAccount, now_s: float) -> _Window:
-        """Return the window of an account of whose last requests nothing is known.
+        """Return the window of an account whose recent requests are unknown.
 
-        It is taken as evenly full: the fleet may have restarted right after a burst.
+        It starts evenly filled, since the fleet may have restarted right after a burst.
         """
         window_s = self._terms.window_s
         window = _Window(SlidingSum(window_s), SlidingSum(window_s), credit=self._rng.random())
--- a/src/egretrail/dispatch/_window.py
+++ b/src/egretrail/dispatch/_sliding_window.py
@@ -1,8 +1,8 @@
-"""Sums over the last moments."""
+"""Sums over a sliding window of time."""
 
 from collections import deque
 
-#: Counts are kept in pieces of this time; a sum may reach this much further back.
+#: Resolution of the window; a sum may include amounts that are older by up to this time.
 _BUCKET_S = 0.25
 
 
@@ -17,28 +17,28 @@
         self._sum = 0
 
     def set_window(self, window_s: float) -> None:
-        """Change the window; what lay outside of the one before is not known any more."""
+        """Change the window; amounts outside of the previous window are not restored."""
         self._window_s = window_s
 
-    def add(self, count: int, now_s: float) -> None:
-        """Add to the sum at a time that is not before that of earlier calls."""
+    def add(self, amount: int, now_s: float) -> None:
+        """Add an amount; ``now_s`` must not be before that of earlier calls."""
         start_s = now_s - now_s % _BUCKET_S
         if self._buckets and self._buckets[-1][0] == start_s:
-            self._buckets[-1] = (start_s, self._buckets[-1][1] + count)
+            self._buckets[-1] = (start_s, self._buckets[-1][1] + amount)
         else:
-            self._buckets.append((start_s, count))
-        self._sum += count
+            self._buckets.append((start_s, amount))
+        self._sum += amount
 
-    def leaving(self, now_s: float, within_s: float) -> int:
+    def expiring(self, now_s: float, within_s: float) -> int:
         """Return how much of the sum leaves the window within a time."""
         until_s = now_s - self._window_s - _BUCKET_S + within_s
         self.total(now_s)
-        left = 0
+        expiring_count = 0
         for start_s, count in self._buckets:
             if start_s > until_s:
                 break
-            left += count
-        return left
+            expiring_count += count
+        return expiring_count
 
     def total(self, now_s: float) -> int:
         """Return what was added within the window."""
--- a/src/egretrail/dispatch/tests/test_suspicion.py
+++ b/src/egretrail/dispatch/tests/test_suspicion.py
@@ -5,18 +5,20 @@
 from egretrail.dispatch import FIRST_PAUSE_S, Observation, Outcome, Standing, SuspicionBook
 from egretrail.testing import EgretrailTestCase, cases
 
-_UP = "up-1"
-_USUAL_S = 0.3
+_UPSTREAM_ID = "up-1"
+_TYPICAL_S = 0.3
 
 #: When, who, what, and how long the request took.
 Event = tuple[float, str, Outcome, float]
 
 
-def _book(events: Sequence[Event]) -> SuspicionBook:
-    book = SuspicionBook("me")
+def _suspicions_after(events: Sequence[Event]) -> SuspicionBook:
+    suspicions = SuspicionBook("me")
     for at_s, observer, outcome, duration_s in events:
-        book.observe(Observation(_UP, outcome, duration_s), observer, _USUAL_S, at_s)
-    return book
+        suspicions.observe(
+            Observation(_UPSTREAM_ID, outcome, duration_s), observer, _TYPICAL_S, at_s
+        )
+    return suspicions
 
 
 class StandingTest(EgretrailTestCase):
@@ -183,20 +185,22 @@
     )
     def test_standing(self, case: tuple[Sequence[Event], float, Standing]) -> None:
         events, now_s, expected = case
-        self.assertIs(expected, _book(events).standing(_UP, now_s))
+        self.assertIs(expected, _suspicions_after(events).standing(_UPSTREAM_ID, now_s))
 
 
 class PauseTest(EgretrailTestCase):
     def test_pauses_grow_with_failed_trials_and_end_at_the_longest(self) -> None:
-        book = _book([(0.0, "a", Outcome.FAILED, 0.003)])
+        suspicions = _suspicions_after([(0.0, "a", Outcome.FAILED, 0.003)])
         now_s = 0.0
         pauses = []
         for _ in range(6):
             begin_s = now_s
-            while book.overdue_s(_UP, now_s) < 0:
+            while suspicions.overdue_s(_UPSTREAM_ID, now_s) < 0:
                 now_s += 0.1
             pauses.append(round(now_s - begin_s, 1))
-            book.observe(Observation(_UP, Outcome.FAILED, 0.003), "a", _USUAL_S, now_s)
+            suspicions.observe(
+                Observation(_UPSTREAM_ID, Outcome.FAILED, 0.003), "a", _TYPICAL_S, now_s
+            )
         self.assertEqual(sorted(pauses), pauses)
         self.assertAlmostEqual(FIRST_PAUSE_S, pauses[0], delta=0.2)
         self.assertAlmostEqual(8.0, pauses[-1], delta=0.2)
@@ -204,34 +208,38 @@
     def test_failures_of_work_under_way_do_not_lengthen_the_pause(self) -> None:
         events: list[Event] = [(1.0, "a", Outcome.FAILED, 0.003)]
         events += [(1.0 + n / 100, "b", Outcome.FAILED, 0.3) for n in range(20)]
-        self.assertGreaterEqual(_book(events).overdue_s(_UP, FIRST_PAUSE_S + 1.1), 0.0)
+        self.assertGreaterEqual(
+            _suspicions_after(events).overdue_s(_UPSTREAM_ID, FIRST_PAUSE_S + 1.1), 0.0
+        )
 
     def test_haste_shortens_the_pause(self) -> None:
-        book = _book([(0.0, "a", Outcome.FAILED, 0.003)])
-        self.assertLess(book.overdue_s(_UP, 2.0), 0.0)
-        self.assertGreaterEqual(book.overdue_s(_UP, 2.0, haste=0.4), 0.0)
+        suspicions = _suspicions_after([(0.0, "a", Outcome.FAILED, 0.003)])
+        self.assertLess(suspicions.overdue_s(_UPSTREAM_ID, 2.0), 0.0)
+        self.assertGreaterEqual(suspicions.overdue_s(_UPSTREAM_ID, 2.0, pause_factor=0.4), 0.0)
 
 
 class AdoptionTest(EgretrailTestCase):
     def test_an_instance_that_has_just_started_doubts_what_its_peers_doubt(self) -> None:
-        peer = _book([(10.0, "a", Outcome.FAILED, 0.003)])
+        peer = _suspicions_after([(10.0, "a", Outcome.FAILED, 0.003)])
         fresh = SuspicionBook("fresh")
         fresh.adopt(peer.records(12.0), 112.0)
-        self.assertIs(Standing.SUSPECT, fresh.standing(_UP, 112.0))
-        self.assertAlmostEqual(peer.overdue_s(_UP, 12.0), fresh.overdue_s(_UP, 112.0))
+        self.assertIs(Standing.SUSPECT, fresh.standing(_UPSTREAM_ID, 112.0))
+        self.assertAlmostEqual(
+            peer.overdue_s(_UPSTREAM_ID, 12.0), fresh.overdue_s(_UPSTREAM_ID, 112.0)
+        )
 
     def test_what_it_has_seen_itself_counts_for_more(self) -> None:
-        fresh = _book([(112.0, "a", Outcome.FAILED, 0.003)])
-        before_s = fresh.overdue_s(_UP, 112.0)
-        fresh.adopt(_book([(1.0, "a", Outcome.FAILED, 0.003)]).records(9.0), 112.0)
-        self.assertEqual(before_s, fresh.overdue_s(_UP, 112.0))
+        fresh = _suspicions_after([(112.0, "a", Outcome.FAILED, 0.003)])
+        before_s = fresh.overdue_s(_UPSTREAM_ID, 112.0)
+        fresh.adopt(_suspicions_after([(1.0, "a", Outcome.FAILED, 0.003)]).records(9.0), 112.0)
+        self.assertEqual(before_s, fresh.overdue_s(_UPSTREAM_ID, 112.0))
 
 
 class ShortOfRoomTest(EgretrailTestCase):
     def test_an_upstream_that_refuses_again_counts_as_short_of_room_for_longer(self) -> None:
-        once = _book([(0.0, "a", Outcome.SHED, 0.002)])
-        often = _book([(n * 0.3, "a", Outcome.SHED, 0.002) for n in range(5)])
-        self.assertTrue(once.short_of_room(_UP, 0.2))
-        self.assertFalse(once.short_of_room(_UP, 0.3))
-        self.assertTrue(often.short_of_room(_UP, 1.2 + 1.5))
-        self.assertFalse(often.short_of_room(_UP, 1.2 + 2.1))
+        once = _suspicions_after([(0.0, "a", Outcome.SHED, 0.002)])
+        often = _suspicions_after([(n * 0.3, "a", Outcome.SHED, 0.002) for n in range(5)])
+        self.assertTrue(once.is_shedding(_UPSTREAM_ID, 0.2))
+        self.assertFalse(once.is_shedding(_UPSTREAM_ID, 0.3))
+        self.assertTrue(often.is_shedding(_UPSTREAM_ID, 1.2 + 1.5))
+        self.assertFalse(often.is_shedding(_UPSTREAM_ID, 1.2 + 2.1))
--- a/src/egretrail/dispatch/tests/test_trials.py
+++ b/src/egretrail/dispatch/tests/test_trials.py
@@ -155,7 +155,7 @@
         def is_due(now_s: float) -> bool:
             for _ in range(int(failures_per_s * 4)):
                 trials.failed(_SERVICE, now_s)
-            due = trials.due(_SERVICE, bad, good, now_s, repeatable=repeatable)
+            due = trials.due(_SERVICE, bad, good, now_s, is_retryable=repeatable)
             return due is not None
 
         self.assertFalse(is_due(part * FIRST_PAUSE_S - 0.05))
@@ -176,10 +176,10 @@
         trials = TrialPace(load, suspicion, request_rate=lambda service, now_s: 100.0)
         now_s = 3.5 * FIRST_PAUSE_S
         bad, good = [_upstream("bad")], [_upstream("good", slots=10)]
-        trials.due(_SERVICE, [], good, now_s - before_s, repeatable=True)
+        trials.due(_SERVICE, [], good, now_s - before_s, is_retryable=True)
         suspicion.observe(Observation("bad", Outcome.FAILED, 0.003), "other", _WORK_S, 0.0)
         load.told("other", {"good": taken}, 0.0)
-        due = trials.due(_SERVICE, bad, good, now_s, repeatable=False)
+        due = trials.due(_SERVICE, bad, good, now_s, is_retryable=False)
         self.assertIs(expected, due is not None)
 
 
--- a/src/egretrail/traffic/__init__.py
+++ b/src/egretrail/traffic/__init__.py
@@ -9,6 +9,7 @@
     Service,
     WeightedService,
 )
+from egretrail.traffic._objectives import UrgencyTable, request_priority
 from egretrail.traffic._revision import revision_era, revision_number, store_revision
 from egretrail.traffic._routing import RouteTable, choose_service
 from egretrail.traffic._upstreams import (
@@ -17,7 +18,6 @@
     UpstreamTable,
     upstream_key,
 )
-from egretrail.traffic._urgency import UrgencyTable, request_priority
 
 __all__ = [
     "AccountTable",
--- a/src/egretrail/traffic/_config.py
+++ b/src/egretrail/traffic/_config.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration: one immutable value for each version."""
+"""The fleet's configuration: an immutable value for each version."""
 
 import enum
 from collections.abc import Mapping, Sequence
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One part of a route's traffic."""
+    """A part of a route's traffic."""
 
-    #: The service that takes the part.
+    #: The service that gets this part.
     service: str
-    #: Its share is this weight over the sum of the route's weights.
+    #: The part is this weight divided by the sum of the route's weights.
     weight: float
 
 
@@ -35,11 +35,11 @@
     host: str
     #: Begins and ends with a slash.
     prefix: str
-    #: Whether its requests may be repeated.
+    #: Whether its requests may be retried.
     kind: RouteKind
-    #: The longest time that a request is kept waiting.
+    #: The longest time that a client waits for a response.
     timeout_s: float
-    #: An answer within this time is worth its full credit to the client.
+    #: Latency objective: a later response is worth less to the client.
     objective_s: float
     #: 0 is the most urgent.
     priority: int
@@ -53,19 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of upstreams that are alike."""
+    """A group of interchangeable upstreams."""
 
     #: The service's name.
     name: str
     #: The path of its health check.
     health_path: str
-    #: Connections that one upstream accepts from all callers together.
+    #: Connections that one upstream accepts from all senders together.
     max_connections: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What clients may send, and how long they may take."""
+    """Limits on the size and duration of clients' requests."""
 
     #: The largest size of a request's head.
     header_bytes: int = 16_384
@@ -79,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """One version of the configuration, in whole."""
+    """A complete version of the configuration."""
 
-    #: Rises with each version, in uneven steps.
+    #: Increases with each version, not always by one.
     version: int
     #: All routes.
     routes: Sequence[Route]
--- a/src/egretrail/traffic/_urgency.py
+++ b/src/egretrail/traffic/_objectives.py
@@ -1,4 +1,4 @@
-"""Which requests go first where services are shared."""
+"""Priorities and latency objectives of requests that share services."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def request_priority(route: Route, account: ClientAccount | None) -> int:
-    """Return the priority of a request: its account's where that has one. 0 is the most urgent."""
+    """Return a request's priority: its account's, or else its route's. 0 is the most urgent."""
     if account is None or account.priority is None:
         return route.priority
     return account.priority
@@ -28,7 +28,14 @@
     def shortest_objective_s(self, service: str, priority: int) -> float | None:
         """Return the shortest objective of a service's more urgent requests; None without any."""
         shortest_s = self._objectives_s.get(service, {})
-        return min((one for rank, one in shortest_s.items() if rank < priority), default=None)
+        return min(
+            (
+                objective_s
+                for other_priority, objective_s in shortest_s.items()
+                if other_priority < priority
+            ),
+            default=None,
+        )
 
 
 def _priorities(route: Route, accounts: Iterable[ClientAccount] | None) -> set[int]:
--- a/src/egretrail/traffic/_revision.py
+++ b/src/egretrail/traffic/_revision.py
@@ -1,16 +1,17 @@
-"""Revisions of the store, in an order that outlasts its return from an older copy.
+"""Store revisions that stay in order when the store is restored from an older copy.
 
-Such a store counts on from the copy's revision and gives the same numbers to other changes. The era
-of the store rises each time, so a revision is the era with the number behind it, in one integer.
+A restored store continues from the copy's revision and gives the same numbers to other changes. Its
+era increases with each restore. A revision is one integer, with the era in the upper bits and the
+number within the era in the lower ones.
 """
 
-#: Bits of the number within an era; what is above them is the era.
+#: Bits of the number within an era; the bits above are the era.
 _NUMBER_BITS = 40
 _NUMBER_MASK = (1 << _NUMBER_BITS) - 1
 
 
 def store_revision(era: int, number: int) -> int:
-    """Return the revision of a number that the store gave in an era; numbers begin above 0."""
+    """Return the revision of a number within an era of the store; numbers start above 0."""
     return era << _NUMBER_BITS | number & _NUMBER_MASK
 
 
--- a/src/egretrail/traffic/_routing.py
+++ b/src/egretrail/traffic/_routing.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request and the service that takes it."""
+"""Finds the route of a request, and the service that gets it."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """Looks up routes by host and by the longest prefix that begins the path."""
+    """Looks up routes by host and by the longest prefix of the path."""
 
     def __init__(self, config: FleetConfig) -> None:
         self._hosts: dict[str, dict[str, Route]] = {}
@@ -14,7 +14,7 @@
             self._hosts.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, None where no prefix matches.
+        """Return the route of a request, or None if no prefix matches.
 
         A lookup tries the prefixes of the path from the longest to the shortest, so its cost
         depends on the depth of the path and not on the number of routes.
@@ -32,12 +32,12 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Draw the service that takes one request, in proportion to the route's weights.
+    """Draw the service of one request, in proportion to the route's weights.
 
-    An independent draw for each request keeps the shares of a route right over the fleet where
-    each instance sees few of its requests; a rotation on each instance would begin with the same
-    part everywhere. A part that is short of room refuses its requests: moving them would put the
-    shares off, and the operators set the shares.
+    Independent draws keep the proportions right over the fleet, though each instance sees few
+    requests of a route. A rotation on each instance would start with the same service everywhere. A
+    service without free capacity refuses its requests. Moving them to another service would change
+    the proportions, which the operators set.
     """
     parts = route.parts
     if len(parts) == 1:
--- a/src/egretrail/traffic/_upstreams.py
+++ b/src/egretrail/traffic/_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that the store lists, and how one instance's table of them changes."""
+"""The upstreams that the store lists, and an instance's table of them."""
 
 import enum
 from collections import deque
@@ -10,22 +10,23 @@
 
 from egretrail.traffic._revision import revision_era
 
-#: Keys that are remembered, about 150 bytes each; an instance's services have fewer upstreams.
-_KEYS_MAX = 8_192
+#: Number of keys that are cached, about 150 bytes each; an instance's services have fewer
+#: upstreams.
+_KEY_CACHE_SIZE = 8_192
 
 
-@lru_cache(maxsize=_KEYS_MAX)
+@lru_cache(maxsize=_KEY_CACHE_SIZE)
 def upstream_key(upstream_id: str) -> int:
-    """Return the number of 32 bits that stands for a lifetime where many are told at once.
+    """Return the 32-bit number that identifies a lifetime in messages about many of them.
 
     It needs no agreement between instances whose lists differ. Among 1,000 upstreams two share a
-    number with a chance of one in 8,600; their loads are then told as one.
+    number with a probability of one in 8,600; their loads are then counted together.
     """
     return xxhash.xxh32_intdigest(upstream_id.encode())
 
 
 class UpstreamState(enum.Enum):
-    """What an upstream says of itself."""
+    """The state that an upstream reports of itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -35,11 +36,12 @@
 class UpstreamRecord:
     """One lifetime of an upstream.
 
-    A process that starts again under its name holds nothing of before and is another lifetime: what
-    was observed of the old one, its connections and its drain say nothing about the new one.
+    A process that restarts under its name keeps no state and is another lifetime. The outcomes,
+    connections and drain of the old lifetime say nothing about the new one.
     """
 
-    #: What it is listed as, and what it goes by in requests; the next lifetime may have it too.
+    #: The name under which it is listed and addressed in requests; its next lifetime may have it
+    #: too.
     name: str
     #: The service it belongs to.
     service: str
@@ -49,35 +51,35 @@
     availability_zone: str
     #: How many requests it runs at once.
     slots: int
-    #: Whether it takes new work.
+    #: Whether it accepts new work.
     state: UpstreamState
-    #: How much longer it is slow after its start, from when the record was read.
+    #: How much longer it is slow after its start, as of the time when the record was read.
     warmup_s: float = 0.0
     #: The store's revision of the record.
     revision: int = 0
-    #: When it started, in milliseconds of its wall clock; 0 where it does not say.
+    #: When it started, in milliseconds of its wall clock; 0 if unknown.
     started_ms: int = 0
-    #: Unique to the lifetime.
+    #: Unique id of the lifetime.
     id: str = field(init=False)
 
     def __post_init__(self) -> None:
-        """Join the name and the start to the lifetime's id."""
+        """Derive the lifetime's id from the name and the start time."""
         lifetime = f"{self.name}~{self.started_ms:x}" if self.started_ms else self.name
         object.__setattr__(self, "id", lifetime)
 
 
-#: Lifetimes that have left, and the last starts and absences of names that are no longer listed,
-#: are remembered up to this number each, about 100 bytes each.
-_DEPARTED_MAX = 20_000
+#: Maximum number of drained lifetimes that are remembered, and of unlisted names whose last start
+#: and absence are; about 100 bytes each.
+_REMEMBERED_MAX = 20_000
 
 
-#: Changes that are remembered for those that know an earlier revision, each some 300 bytes.
+#: Maximum number of changes kept for readers of an earlier revision, about 300 bytes each.
 _CHANGES_MAX = 400
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """One change of the list."""
+    """A change of the list."""
 
     #: The revision from which on it is known.
     revision: int
@@ -89,29 +91,30 @@
 class UpstreamTable:
     """The listed upstreams, one lifetime for each name.
 
-    A lifetime that was seen draining never becomes ready again, and one that is older than another
-    of its name never comes back: its words may be stored or told after those of its successor.
+    A lifetime that was seen draining never becomes ready again. A lifetime that is older than
+    another of its name is never listed again: its records may be stored or received after those of
+    its successor.
     """
 
     #: The upstreams of the newest known state of the store, by lifetime id.
     records: dict[str, UpstreamRecord] = field(default_factory=dict)
     #: The store's revision up to which changes are known.
     revision: int = 0
-    #: Rises with each change of the list, also where no revision goes with it.
+    #: Increases with each change of the list, including changes without a revision of their own.
     edition: int = 0
     _by_service: dict[str, list[UpstreamRecord]] = field(default_factory=dict)
     _by_name: dict[str, UpstreamRecord] = field(default_factory=dict)
-    _left: dict[str, None] = field(default_factory=dict)
-    #: The last revision at which a name that was listed was not, or that of its dropped entry.
-    _absent: dict[str, int] = field(default_factory=dict)
-    #: The newest start that was seen of each name.
+    _drained: dict[str, None] = field(default_factory=dict)
+    #: The last revision at which a formerly listed name was absent, or that of its removed record.
+    _absent_revisions: dict[str, int] = field(default_factory=dict)
+    #: The newest start time seen of each name.
     _started_ms: dict[str, int] = field(default_factory=dict)
-    #: The last changes, the oldest first, and the revision since which none is missing.
+    #: The latest changes, oldest first, and the revision since which they are complete.
     _changes: deque[_Change] = field(default_factory=deque)
     _changes_since: int = 0
 
     def ready(self, service: str) -> list[UpstreamRecord]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept new work."""
         return self._by_service.get(service, [])
 
     def named(self, name: str) -> UpstreamRecord | None:
@@ -119,18 +122,18 @@
         return self._by_name.get(name)
 
     def takes_work(self, upstream_id: str) -> bool:
-        """Return whether an upstream is listed and takes new work."""
+        """Return whether an upstream is listed and accepts new work."""
         record = self.records.get(upstream_id)
         return record is not None and record.state is UpstreamState.READY
 
     def vanished_before(self, era: int) -> set[str]:
-        """Return names that were last known to be gone in an earlier era of the store.
+        """Return the names that were last known to be absent in an earlier era of the store.
 
-        A copy of the store from before lists them again, alive or not.
+        A store that was restored from an older copy lists them again, alive or not.
         """
         return {
             name
-            for name, revision in self._absent.items()
+            for name, revision in self._absent_revisions.items()
             if revision_era(revision) < era and name not in self._by_name
         }
 
@@ -139,134 +142,136 @@
         return iter(self.records.values())
 
     def replace(self, records: Iterable[UpstreamRecord], revision: int) -> bool:
-        """Take a whole state of the store; return whether it was newer than the known one."""
+        """Replace the list by a complete state of the store; return False if it is an older one."""
         if revision < self.revision:
             return False
         before, self._by_name = self._by_name, {}
         for record in records:
-            self._take(record, before.get(record.name), revision)
+            self._merge_record(record, before.get(record.name), revision)
         for name in before.keys() - self._by_name.keys():
             self._remember_absent(name, revision)
         if revision == self.revision:
             names = before.keys() | self._by_name.keys()
-            differ = [name for name in names if before.get(name) != self._by_name.get(name)]
-            self._changed(differ, revision + 1)
+            changed_names = [name for name in names if before.get(name) != self._by_name.get(name)]
+            self._record_changes(changed_names, revision + 1)
             return True
-        # The list does not tell what came and went since the known revision.
+        # The complete list does not show which upstreams were added and removed in between.
         self.revision = revision
         self._changes.clear()
         self._changes_since = revision
-        self._index()
+        self._rebuild_indexes()
         return True
 
     def apply(self, changes: Mapping[str, UpstreamRecord | None], revision: int) -> None:
-        """Take what changed up to a revision, by name; None for a record that was removed.
+        """Apply the changes up to a revision, by name; None for a removed record.
 
-        It begins at the known revision or before it. What ends there or before it is known: its
-        words arrive after newer ones, and would list again what has been removed since. A later
-        lifetime of a listed name is news even then: a late word of the one before it may stand in
-        its place in the whole list that told the known revision.
+        The changes start at the known revision or before it. If they end there or before it, they
+        are known already: they arrive late, and would list again what has been removed since. A
+        later lifetime of a listed name is applied even then. The complete list of the known
+        revision may hold a late record of the previous lifetime in its place.
         """
         if revision <= self.revision:
-            self._take_later_lifetimes(changes)
+            self._apply_later_lifetimes(changes)
             return
         for name, record in changes.items():
             before = self._by_name.pop(name, None)
             if record is None:
                 self._remember_absent(name, revision)
             else:
-                self._take(record, before, revision)
+                self._merge_record(record, before, revision)
         self.revision = revision
-        self._changed(changes, revision)
+        self._record_changes(changes, revision)
 
     def drop(self, names: Iterable[str]) -> None:
-        """Take records from the list that the store has not named since the known revision."""
+        """Remove records that the store has not confirmed since the known revision."""
         for name in names:
             record = self._by_name.pop(name, None)
             if record is not None:
                 self._remember_absent(name, record.revision)
-        # Whoever has the known revision asks for nothing before the next one.
-        self._changed(names, self.revision + 1)
+        # A reader that has the known revision asks only for changes after it.
+        self._record_changes(names, self.revision + 1)
 
     def changes_since(self, revision: int) -> Mapping[str, UpstreamRecord | None] | None:
-        """Return what changed since a revision, by name; None where that is not remembered.
+        """Return the changes since a revision, by name; None if they are no longer known.
 
-        Load: the upstreams of a release list themselves in series, and each change makes all
-        instances ask. With 360 listed the whole list is 29 KB, a change 0.1 KB.
+        The upstreams of a release register one after the other, and each change makes all instances
+        fetch. With 360 upstreams the complete list has 29 KB, a change 0.1 KB.
         """
         if revision < self._changes_since:
             return None
-        names = dict.fromkeys(one.name for one in self._changes if one.revision > revision)
+        names = dict.fromkeys(change.name for change in self._changes if change.revision > revision)
         return {name: self._by_name.get(name) for name in names}
 
     def mark_gone(self, upstream_id: str) -> None:
-        """Stop sending work to an upstream whose address answers for another lifetime.
+        """Stop sending requests to an upstream whose address responds for another lifetime.
 
-        The answer reaches this instance sooner than the list when the store is slow.
+        If the store is slow, this response arrives before the updated list.
         """
         record = self.records.get(upstream_id)
         if record is not None and record.state is UpstreamState.READY:
-            self._remember_left(upstream_id)
-            self._by_name[record.name] = self._admit(record)
-            self._index()
+            self._remember_drained(upstream_id)
+            self._by_name[record.name] = self._with_known_state(record)
+            self._rebuild_indexes()
 
-    def _take_later_lifetimes(self, changes: Mapping[str, UpstreamRecord | None]) -> None:
+    def _apply_later_lifetimes(self, changes: Mapping[str, UpstreamRecord | None]) -> None:
         later = []
         for name, record in changes.items():
             listed = self._by_name.get(name)
             if record is None or listed is None or record.started_ms <= listed.started_ms:
                 continue
             if self._is_newest(record):
-                self._by_name[name] = self._admit(record)
+                self._by_name[name] = self._with_known_state(record)
                 later.append(name)
         if later:
-            # Whoever has the known revision asks for nothing before the next one.
-            self._changed(later, self.revision + 1)
+            # A reader that has the known revision asks only for changes after it.
+            self._record_changes(later, self.revision + 1)
 
-    def _changed(self, names: Iterable[str], revision: int) -> None:
+    def _record_changes(self, names: Iterable[str], revision: int) -> None:
         self._changes.extend(_Change(revision, name) for name in names)
         while len(self._changes) > _CHANGES_MAX:
             self._changes_since = max(self._changes_since, self._changes.popleft().revision)
-        self._index()
-
-    def _take(self, record: UpstreamRecord, before: UpstreamRecord | None, revision: int) -> None:
-        """List what a name's entry was at a revision, or what was listed before."""
-        if 0 < record.revision <= self._absent.get(record.name, 0):
-            # Whoever told it keeps what vanished with the store's outage.
+        self._rebuild_indexes()
+
+    def _merge_record(
+        self, record: UpstreamRecord, before: UpstreamRecord | None, revision: int
+    ) -> None:
+        """List a name's record of a revision, or else keep the previously listed one."""
+        if 0 < record.revision <= self._absent_revisions.get(record.name, 0):
+            # The sender still has a record that vanished in the store's outage.
             return
         if self._is_newest(record):
-            self._by_name[record.name] = self._admit(record)
+            self._by_name[record.name] = self._with_known_state(record)
         elif before is not None and not record.revision < before.revision <= revision:
-            # The word of an older lifetime was stored late. One that was stored earlier would not
-            # be told if the known one were still in the list.
+            # An older lifetime's record was stored late, over the listed one. A record that was
+            # stored before the listed one is in this state only if the listed one was removed.
             self._by_name[record.name] = before
 
     def _remember_absent(self, name: str, revision: int) -> None:
-        self._absent[name] = max(self._absent.pop(name, 0), revision)
-        if len(self._absent) > _DEPARTED_MAX:
-            del self._absent[next(iter(self._absent))]
+        self._absent_revisions[name] = max(self._absent_revisions.pop(name, 0), revision)
+        if len(self._absent_revisions) > _REMEMBERED_MAX:
+            del self._absent_revisions[next(iter(self._absent_revisions))]
 
     def _is_newest(self, record: UpstreamRecord) -> bool:
-        """Return whether no later start of the record's name was seen, and remember its own."""
+        """Return whether no later start of the record's name was seen, and remember this start."""
         newest_ms = max(self._started_ms.pop(record.name, 0), record.started_ms)
         self._started_ms[record.name] = newest_ms
-        if len(self._started_ms) > _DEPARTED_MAX:
+        if len(self._started_ms) > _REMEMBERED_MAX:
             del self._started_ms[next(iter(self._started_ms))]
         return record.started_ms == newest_ms
 
-    def _admit(self, record: UpstreamRecord) -> UpstreamRecord:
+    def _with_known_state(self, record: UpstreamRecord) -> UpstreamRecord:
         if record.state is UpstreamState.DRAINING:
-            self._remember_left(record.id)
-        if record.id in self._left and record.state is not UpstreamState.DRAINING:
+            self._remember_drained(record.id)
+        if record.id in self._drained and record.state is not UpstreamState.DRAINING:
             return replace(record, state=UpstreamState.DRAINING)
         return record
 
-    def _remember_left(self, upstream_id: str) -> None:
-        self._left[upstream_id] = None
-        if len(self._left) > _DEPARTED_MAX:
-            del self._left[next(iter(self._left))]
+    def _remember_drained(self, upstream_id: str) -> None:
+        self._drained[upstream_id] = None
+        if len(self._drained) > _REMEMBERED_MAX:
+            del self._drained[next(iter(self._drained))]
 
-    def _index(self) -> None:
+    def _rebuild_indexes(self) -> None:
         self.edition += 1
         self.records = {record.id: record for record in self._by_name.values()}
         by_service: dict[str, list[UpstreamRecord]] = {}
