--- a/src/egretrail/dispatch/tests/test_limits.py
+++ b/src/egretrail/dispatch/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What an instance may send to an upstream that has named a limit for the whole fleet."""
+"""How instances share a limit that an upstream advertised for the whole fleet."""
 
 from dataclasses import replace
 
@@ -25,12 +25,12 @@
 _ALONE = LimitPlace(True, 0, 1, 1, 1.0)
 
 
-def _place(rank: int, *, responsible: bool = True, known_share: float = 1.0) -> LimitPlace:
+def _position(rank: int, *, responsible: bool = True, known_share: float = 1.0) -> LimitPlace:
     return LimitPlace(responsible, rank, 10, 30, known_share)
 
 
-def _sent(limits: UpstreamLimits, from_s: float, for_s: float) -> int:
-    """Return how many requests are sent where one waits at each moment."""
+def _count_sent(limits: UpstreamLimits, from_s: float, for_s: float) -> int:
+    """Return how many requests are sent if one waits at any time."""
     sent = 0
     for step in range(round(for_s * 100)):
         now_s = from_s + step / 100
@@ -43,31 +43,31 @@
 class ShareTest(EgretrailTestCase):
     @cases(
         {
-            "a small limit: the first of the zone": (0.3, _place(0), 0.3),
-            "a small limit: the second": (0.3, _place(1), 0.0),
-            "the limit of several": (2.0, _place(3), 0.5),
-            "behind those": (2.0, _place(4), 0.0),
-            "another zone's instance": (2.0, _place(0, responsible=False), 0.0),
-            "a limit for the whole zone": (12.0, _place(9), 1.2),
-            "a limit for all": (60.0, _place(9, responsible=False), 2.0),
-            "cut off with a tenth of the fleet": (2.0, _place(0, known_share=0.1), 0.2),
-            "nothing": (0.0, _place(0), 0.0),
+            "small limit, first instance of the zone": (0.3, _position(0), 0.3),
+            "small limit, second instance": (0.3, _position(1), 0.0),
+            "last instance with a share": (2.0, _position(3), 0.5),
+            "first instance without a share": (2.0, _position(4), 0.0),
+            "instance of another zone": (2.0, _position(0, responsible=False), 0.0),
+            "limit shared by the whole zone": (12.0, _position(9), 1.2),
+            "limit shared by the whole fleet": (60.0, _position(9, responsible=False), 2.0),
+            "partitioned with a tenth of the fleet": (2.0, _position(0, known_share=0.1), 0.2),
+            "limit of zero": (0.0, _position(0), 0.0),
         }
     )
     def test_share(self, case: tuple[float, LimitPlace, float]) -> None:
-        limit_per_s, place, rate_per_s = case
-        self.assertAlmostEqual(rate_per_s, place.share(limit_per_s).rate_per_s)
+        limit_per_s, position, rate_per_s = case
+        self.assertAlmostEqual(rate_per_s, position.share(limit_per_s).rate_per_s)
 
     @cases({str(limit): limit for limit in (0.1, 0.7, 1.1, 1.8, 4.9, 5.0, 14.0, 15.0, 90.0)})
-    def test_the_shares_of_all_are_the_limit(self, limit_per_s: float) -> None:
+    def test_shares_add_up_to_the_limit(self, limit_per_s: float) -> None:
         zones = [(True, 10), (False, 10), (False, 10)]
         shares = [
-            _place(rank, responsible=responsible).share(limit_per_s)
+            _position(rank, responsible=responsible).share(limit_per_s)
             for responsible, size in zones
             for rank in range(size)
         ]
         self.assertAlmostEqual(limit_per_s, sum(share.rate_per_s for share in shares))
-        # Full buckets may be emptied at one moment.
+        # All buckets may be full and emptied at the same moment.
         in_4_s = 4 * limit_per_s + sum(share.burst for share in shares)
         self.assertLess(in_4_s, 1.5 * 4 * limit_per_s + 5)
 
@@ -78,29 +78,29 @@
         limit_per_s, sent = case
         limits = UpstreamLimits(lambda _: _ALONE)
         limits.named("u", limit_per_s, 0.0)
-        self.assertAlmostEqual(sent, _sent(limits, 0.0, 4.0), delta=1)
+        self.assertAlmostEqual(sent, _count_sent(limits, 0.0, 4.0), delta=1)
 
-    def test_an_upstream_that_takes_nothing_is_asked_now_and_then(self) -> None:
-        """The end of a limit shows in answers only."""
+    def test_an_upstream_with_a_limit_of_zero_gets_a_request_now_and_then(self) -> None:
+        """Only responses show that a limit has ended."""
         limits = UpstreamLimits(lambda _: _ALONE)
         limits.named("u", 0.0, 0.0)
-        self.assertEqual(3, _sent(limits, 0.0, 25.0))
+        self.assertEqual(3, _count_sent(limits, 0.0, 25.0))
 
-    def test_who_takes_over_begins_with_nothing(self) -> None:
-        place = [_place(5)]
-        limits = UpstreamLimits(lambda _: place[0])
+    def test_an_instance_that_takes_over_a_share_starts_without_tokens(self) -> None:
+        position = [_position(5)]
+        limits = UpstreamLimits(lambda _: position[0])
         limits.named("u", 1.0, 0.0)
-        self.assertEqual(0, _sent(limits, 0.0, 5.0))
-        place[0] = _place(0)
+        self.assertEqual(0, _count_sent(limits, 0.0, 5.0))
+        position[0] = _position(0)
         self.assertFalse(limits.admits(_UPSTREAM, 5.3))
         self.assertTrue(limits.admits(_UPSTREAM, 7.5))
 
-    def test_who_cannot_send_is_told_when_to_come_back(self) -> None:
+    def test_retry_after_is_the_time_until_the_next_token(self) -> None:
         limits = UpstreamLimits(lambda _: _ALONE)
         limits.named("u", 2.0, 0.0)
         limits.sent(_UPSTREAM, 0.0)
         self.assertAlmostEqual(0.5, limits.retry_after_s([_UPSTREAM], 0.0))
-        limits = UpstreamLimits(lambda _: _place(9))
+        limits = UpstreamLimits(lambda _: _position(9))
         limits.named("u", 4.0, 0.0)
         self.assertAlmostEqual(0.25, limits.retry_after_s([_UPSTREAM], 0.0))
 
@@ -108,18 +108,18 @@
 class EndTest(EgretrailTestCase):
     @cases(
         {
-            "at once, by an answer that was made before": (0.1, False),
+            "at once, by a response that may be older": (0.1, False),
             "later": (0.6, True),
         }
     )
-    def test_an_answer_without_a_limit_ends_it(self, case: tuple[float, bool]) -> None:
+    def test_a_response_without_a_limit_ends_it(self, case: tuple[float, bool]) -> None:
         after_s, ends = case
         limits = UpstreamLimits(lambda _: _ALONE)
         limits.named("u", 2.0, 0.0)
         limits.named("u", None, after_s)
         self.assertEqual(ends, limits.limit_per_s("u") is None)
 
-    def test_an_older_word_that_is_told_later_changes_nothing(self) -> None:
+    def test_an_older_limit_from_a_peer_is_ignored(self) -> None:
         limits = UpstreamLimits(lambda _: _ALONE)
         limits.named("u", 2.0, 0.0)
         limits.named("u", None, 1.0)
@@ -127,34 +127,34 @@
         self.assertTrue(limits.hear(StatedLimit("u", 3.0, 1.5), 1.6))
         self.assertEqual(3.0, limits.limit_per_s("u"))
 
-    def test_a_limit_that_nobody_names_again_is_forgotten(self) -> None:
-        limits = UpstreamLimits(lambda _: _place(9))
+    def test_a_limit_expires_if_it_is_not_advertised_again(self) -> None:
+        limits = UpstreamLimits(lambda _: _position(9))
         limits.named("u", 1.0, 0.0)
         self.assertFalse(limits.admits(_UPSTREAM, 29.0))
         self.assertTrue(limits.admits(_UPSTREAM, 31.0))
 
     def test_another_lifetime_has_no_limit(self) -> None:
-        limits = UpstreamLimits(lambda _: _place(9))
+        limits = UpstreamLimits(lambda _: _position(9))
         limits.named("u", 1.0, 0.0)
         limits.keep_only({"u~2"})
         self.assertIsNone(limits.limit_per_s("u"))
 
 
-class TellingTest(EgretrailTestCase):
+class PublishingTest(EgretrailTestCase):
     @cases(
         {
-            "the same at once": (2.0, 0.2, False),
-            "a little more": (2.1, 0.2, False),
-            "half": (1.0, 0.2, True),
-            "the same after a while": (2.0, 5.5, True),
-            "the end": (None, 0.8, True),
+            "unchanged, at once": (2.0, 0.2, False),
+            "slightly changed": (2.1, 0.2, False),
+            "halved": (1.0, 0.2, True),
+            "unchanged, after a while": (2.0, 5.5, True),
+            "ended": (None, 0.8, True),
         }
     )
-    def test_the_others_hear_what_is_news(self, case: tuple[float | None, float, bool]) -> None:
-        limit_per_s, at_s, told = case
+    def test_what_is_published_to_peers(self, case: tuple[float | None, float, bool]) -> None:
+        limit_per_s, at_s, is_published = case
         limits = UpstreamLimits(lambda _: _ALONE)
         self.assertIsNotNone(limits.named("u", 2.0, 0.0))
-        self.assertEqual(told, limits.named("u", limit_per_s, at_s) is not None)
+        self.assertEqual(is_published, limits.named("u", limit_per_s, at_s) is not None)
 
 
 class PlacementTest(EgretrailTestCase):
@@ -172,19 +172,19 @@
         query = PlacementQuery("s", left_s=3.0, worth_s=3.0, repeatable=False)
         return placement.choose(query, ready, now_s)
 
-    def test_an_upstream_with_nothing_left_of_its_limit_is_left_out(self) -> None:
+    def test_an_upstream_without_tokens_is_not_chosen(self) -> None:
         placement = self._placement({"u": 0.1})
         for _ in range(20):
             choice = self._choose(placement, 1.0)
             assert isinstance(choice, Choice)
             self.assertEqual("v", choice.upstream.name)
 
-    def test_second_copies_take_no_tokens(self) -> None:
+    def test_hedged_requests_take_no_tokens(self) -> None:
         placement = self._placement({"u": 50.0, "v": 50.0})
         query = PlacementQuery("s", left_s=3.0, worth_s=3.0, repeatable=True, spare_only=True)
         self.assertIsInstance(placement.choose(query, [_UPSTREAM], 5.0), Refusal)
 
-    def test_a_trial_is_bound_by_the_limit(self) -> None:
+    def test_a_trial_needs_a_token(self) -> None:
         placement = self._placement({"u": 0.1})
         failed = Observation("u", Outcome.FAILED, 0.001)
         placement.suspicion.observe(failed, "b", 0.3, 0.0)
@@ -192,7 +192,7 @@
         assert isinstance(choice, Choice)
         self.assertEqual("v", choice.upstream.name)
 
-    def test_a_request_is_refused_at_once_where_all_have_nothing_left(self) -> None:
+    def test_a_request_is_refused_if_no_upstream_has_a_token(self) -> None:
         refusal = self._choose(self._placement({"u": 0.5, "v": 1.0}), 0.5)
         assert isinstance(refusal, Refusal)
         self.assertIs(RefusalReason.LIMITED, refusal.reason)
--- a/src/egretrail/dispatch/tests/test_placement.py
+++ b/src/egretrail/dispatch/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where work is placed, tried and refused at the loads that the rules are made for."""
+"""Placement, trials and refusals of requests under the loads that the rules are made for."""
 
 import heapq
 import random
@@ -52,30 +52,30 @@
 class PreferenceTest(EgretrailTestCase):
     @cases(
         {
-            "the own zone": ({}, {"far": 0, "near": 1}, "near"),
-            "another zone when the own is nearly full": ({}, {"far": 0, "near": 3}, "far"),
-            "the less loaded": ({}, {"near": 2, "near-2": 0}, "near-2"),
-            "a connection that is open": (
+            "own zone": ({}, {"far": 0, "near": 1}, "near"),
+            "another zone if the own is nearly full": ({}, {"far": 0, "near": 3}, "far"),
+            "less loaded upstream": ({}, {"near": 2, "near-2": 0}, "near-2"),
+            "open connection": (
                 {"connected": ["near-2"]},
                 {"near": 0, "near-2": 0},
                 "near-2",
             ),
-            "small answers in another zone's free slot": (
+            "small responses in another zone's free slot": (
                 {"answer_bytes": 1_500.0},
                 {"far": 0, "near": 4},
                 "far",
             ),
-            "large answers in the own zone's queue": (
+            "large responses in the own zone's queue": (
                 {"answer_bytes": 90_000.0},
                 {"far": 0, "near": 6},
                 "near",
             ),
-            "large answers elsewhere before they are late": (
+            "large responses in another zone if the own queue is too long": (
                 {"answer_bytes": 90_000.0, "worth_s": 0.6},
                 {"far": 0, "near": 6},
                 "far",
             ),
-            "not what was tried": ({"excluded": ["near"]}, {"far": 0, "near": 0}, "far"),
+            "not an excluded upstream": ({"excluded": ["near"]}, {"far": 0, "near": 0}, "far"),
         }
     )
     def test_preference(self, case: tuple[dict[str, object], dict[str, int], str]) -> None:
@@ -87,7 +87,7 @@
         assert isinstance(choice, Choice)
         self.assertEqual(expected, choice.upstream.id)
 
-    def test_an_upstream_short_of_room_is_used_when_all_are(self) -> None:
+    def test_upstreams_that_shed_are_used_if_all_do(self) -> None:
         placement = _placement()
         for name in ("x", "y"):
             placement.suspicion.observe(Observation(name, Outcome.SHED, 0.002), "b", 0.3, 1.0)
@@ -98,16 +98,16 @@
         placement = _placement()
         for _ in range(10):
             placement.durations.observe(_SERVICE, "slow", 1.5)
-            placement.durations.observe(_SERVICE, "usual", 0.3)
-        ready = [_upstream("slow"), _upstream("usual")]
-        placement.load.told("other", {"usual": 2}, 0.0)
+            placement.durations.observe(_SERVICE, "normal", 0.3)
+        ready = [_upstream("slow"), _upstream("normal")]
+        placement.load.told("other", {"normal": 2}, 0.0)
         choice = placement.choose(_query(), ready, 0.0)
         assert isinstance(choice, Choice)
-        self.assertEqual("usual", choice.upstream.id)
+        self.assertEqual("normal", choice.upstream.id)
 
 
-class AnswerSizesTest(EgretrailTestCase):
-    def test_the_mean_follows_the_answers_of_its_route(self) -> None:
+class ResponseSizesTest(EgretrailTestCase):
+    def test_the_mean_follows_the_responses_of_the_route(self) -> None:
         sizes = AnswerSizes()
         self.assertEqual(0.0, sizes.mean_bytes("files"))
         for _ in range(60):
@@ -118,25 +118,25 @@
             sizes.observe("files", 1_000)
         self.assertAlmostEqual(1_000, sizes.mean_bytes("files"), delta=300)
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_the_number_of_routes_is_bounded(self) -> None:
         sizes = AnswerSizes()
         for number in range(6_000):
             sizes.observe(f"r{number}", 10)
         self.assertEqual((0.0, 10.0), (sizes.mean_bytes("r0"), sizes.mean_bytes("r5999")))
 
 
-class DarkUpstreamTest(EgretrailTestCase):
-    """A third of a zone's upstreams goes dark at once, without a word and with work under way."""
+class UnresponsiveUpstreamTest(EgretrailTestCase):
+    """A third of a zone's upstreams stops responding at once, with requests in flight."""
 
-    _DARK = ("u0", "u1", "u2")
+    _FAILED = ("u0", "u1", "u2")
     _FROM_S, _FOR_S = 5.0, 0.8
 
-    def test_little_is_sent_to_upstreams_that_have_stopped_to_answer(self) -> None:
-        # 69 without a charge for quiet upstreams.
+    def test_few_requests_are_sent_to_upstreams_that_stopped_responding(self) -> None:
+        # 69 without a cost for unresponsive upstreams.
         self.assertLess(sum(self._lost(seed) for seed in range(12)), 55)
 
     def _lost(self, seed: int) -> int:
-        """Return how many requests are sent to dark upstreams; callers give up after a second."""
+        """Return how many requests failed upstreams get; clients give up after a second."""
         rng = random.Random(seed)
         placement = _placement(seed=seed)
         ready = [_upstream(f"u{n}", slots=3) for n in range(9)]
@@ -156,14 +156,14 @@
             name = choice.upstream.id
             placement.load.started(name, now_s)
             work_s = rng.lognormvariate(-1.8, 0.7)
-            dark = name in self._DARK and now_s + work_s >= self._FROM_S
-            heapq.heappush(ends, (now_s + (1.0 if dark else work_s), name, not dark))
-            lost += dark and now_s >= self._FROM_S
+            is_lost = name in self._FAILED and now_s + work_s >= self._FROM_S
+            heapq.heappush(ends, (now_s + (1.0 if is_lost else work_s), name, not is_lost))
+            lost += is_lost and now_s >= self._FROM_S
         return lost
 
 
 class TrialTest(EgretrailTestCase):
-    def test_a_suspect_gets_nothing_before_its_pause_and_one_request_after(self) -> None:
+    def test_a_suspect_gets_no_request_during_its_pause_and_one_after(self) -> None:
         placement = _placement()
         ready = [_upstream("bad"), _upstream("good", slots=10)]
         placement.load.told("other", {"good": 8}, 0.0)
@@ -194,7 +194,7 @@
         assert isinstance(after, Choice)
         self.assertEqual((False, True), (before.trial, after.trial))
 
-    def test_repeatable_work_tries_sooner(self) -> None:
+    def test_a_retryable_request_is_a_trial_sooner(self) -> None:
         placement = _placement()
         ready = [_upstream("bad"), _upstream("good")]
         _fail(placement, "bad", 0.0)
@@ -206,9 +206,9 @@
 class RefusalTest(EgretrailTestCase):
     @cases(
         {
-            "nothing is listed": ([], {}, 5.0, RefusalReason.NO_UPSTREAM),
-            "all failed just now": (["x"], {}, 5.0, RefusalReason.ALL_SUSPECT),
-            "the queue is longer than the time left": (["y"], {"y": 40}, 2.0, None),
+            "no upstream is listed": ([], {}, 5.0, RefusalReason.NO_UPSTREAM),
+            "all upstreams failed just now": (["x"], {}, 5.0, RefusalReason.ALL_SUSPECT),
+            "the queue is longer than the remaining time": (["y"], {"y": 40}, 2.0, None),
         }
     )
     def test_refusal(
@@ -227,16 +227,16 @@
 
 
 class ShortTimeTest(EgretrailTestCase):
-    def test_a_request_with_little_time_gets_a_slot_that_is_free(self) -> None:
+    def test_a_request_with_little_time_gets_a_free_slot(self) -> None:
         placement = _placement()
         choice = placement.choose(_query(left_s=0.05), [_upstream("x")], 0.0)
         self.assertIsInstance(choice, Choice)
 
 
 class BrokenPathTest(EgretrailTestCase):
-    """Instances with links that lose packets, before upstreams that all others reach."""
+    """Links of some instances lose packets; all other instances reach the upstreams."""
 
-    def test_what_is_left_is_tried_where_no_path_works(self) -> None:
+    def test_an_upstream_is_tried_even_if_no_network_path_works(self) -> None:
         placement = _placement()
         for name in ("x", "y"):
             seen = Observation(name, Outcome.UNREACHABLE, 0.35)
@@ -245,7 +245,7 @@
         self.assertIsInstance(choice, Choice)
 
     @cases({f"seed {seed}": seed for seed in range(4)})
-    def test_a_few_bad_links_take_no_upstream_from_the_others(self, seed: int) -> None:
+    def test_a_few_bad_links_take_no_upstream_out_of_service(self, seed: int) -> None:
         rng = random.Random(seed)
         placement = _placement()
         upstreams = [_upstream(f"u{n}") for n in range(11)]
@@ -261,36 +261,38 @@
             outcome = Outcome.UNREACHABLE if lost else Outcome.SUCCESS
             seen = Observation(choice.upstream.id, outcome, 0.35)
             placement.suspicion.observe(seen, f"i{who}", 0.3, now_s)
-        standings = [placement.suspicion.standing(one.id, 40.0) for one in upstreams]
+        healths = [placement.suspicion.standing(one.id, 40.0) for one in upstreams]
         self.assertEqual(0, refused)
-        self.assertGreaterEqual(standings.count(Standing.GOOD), 8)
+        self.assertGreaterEqual(healths.count(Standing.GOOD), 8)
 
 
-class SecondCopyTest(EgretrailTestCase):
-    @cases({"room": ({"x": 1}, True), "nearly full": ({"x": 4}, False)})
-    def test_a_copy_takes_only_room_that_is_free(self, case: tuple[dict[str, int], bool]) -> None:
-        loads, chosen = case
+class HedgedRequestTest(EgretrailTestCase):
+    @cases({"spare capacity": ({"x": 1}, True), "nearly full": ({"x": 4}, False)})
+    def test_a_hedged_request_uses_only_spare_capacity(
+        self, case: tuple[dict[str, int], bool]
+    ) -> None:
+        loads, is_chosen = case
         placement = _placement()
         placement.load.told("other", loads, 0.0)
         choice = placement.choose(_query(spare_only=True), [_upstream("x")], 0.0)
-        self.assertIs(chosen, isinstance(choice, Choice))
+        self.assertIs(is_chosen, isinstance(choice, Choice))
 
 
-class SlowPartTest(EgretrailTestCase):
-    def test_slow_upstreams_do_not_make_the_sound_ones_refuse(self) -> None:
+class SlowUpstreamsTest(EgretrailTestCase):
+    def test_slow_upstreams_cause_no_refusals_at_healthy_ones(self) -> None:
         placement = _placement()
         for _ in range(100):
             placement.durations.observe(_SERVICE, "slow", 4.0)
-            placement.durations.observe(_SERVICE, "sound", 0.3)
-        placement.load.told("other", {"sound": 5, "slow": 4}, 0.0)
-        ready = [_upstream("slow"), _upstream("sound")]
+            placement.durations.observe(_SERVICE, "healthy", 0.3)
+        placement.load.told("other", {"healthy": 5, "slow": 4}, 0.0)
+        ready = [_upstream("slow"), _upstream("healthy")]
         choice = placement.choose(_query(left_s=0.8), ready, 0.0)
         assert isinstance(choice, Choice)
-        self.assertEqual("sound", choice.upstream.id)
+        self.assertEqual("healthy", choice.upstream.id)
 
 
 class FleetReplay:
-    """A fleet of instances with a shared view, before upstreams some of which fail in spells."""
+    """A fleet with a shared view; some upstreams have failure periods."""
 
     def __init__(self, seed: int, *, shared: bool) -> None:
         self._rng = random.Random(seed)
@@ -307,7 +309,7 @@
                 placement.trials = first.trials
 
     def failed(self) -> int:
-        """Play 30 s of 70 requests a second; a third of the upstreams fails for 9 s at a time."""
+        """Replay 30 s at 70 requests a second; a third of the upstreams fails, for 9 s in turn."""
         ends: list[tuple[float, int, str, bool, float]] = []
         failed = 0
         for number in range(2100):
@@ -324,8 +326,8 @@
                 continue
             name = choice.upstream.id
             placement.load.started(name, now_s)
-            spell = (int(name[1:]) + int(now_s / 9)) % 3 == 0
-            good = not (spell and self._rng.random() < 0.9)
+            in_failure_period = (int(name[1:]) + int(now_s / 9)) % 3 == 0
+            good = not (in_failure_period and self._rng.random() < 0.9)
             duration_s = self._rng.uniform(0.2, 0.5) if good else 0.003
             heapq.heappush(ends, (now_s + duration_s, who, name, good, duration_s))
         return failed
@@ -337,18 +339,18 @@
         placement.suspicion.observe(Observation(name, outcome, duration_s), "x", 0.3, at_s)
 
 
-class GraySpellTest(EgretrailTestCase):
+class GrayFailureTest(EgretrailTestCase):
     @cases({f"seed {seed}": seed for seed in range(5)})
-    def test_shared_evidence_fails_a_third_of_what_separate_learners_fail(self, seed: int) -> None:
-        alone = FleetReplay(seed, shared=False).failed()
+    def test_shared_evidence_avoids_two_thirds_of_the_failures(self, seed: int) -> None:
+        separate = FleetReplay(seed, shared=False).failed()
         shared = FleetReplay(seed, shared=True).failed()
-        self.assertLess(shared, alone / 3)
-        # Six upstreams fail at a time, in four spells: one detection and two trials each.
+        self.assertLess(shared, separate / 3)
+        # Six upstreams fail at a time, in four failure periods: one detection and two trials each.
         self.assertLess(shared, 6 * 4 * 4)
 
 
 class OverloadReplay:
-    """A service of 11 upstreams with queues, whose callers come 1.4 times too fast for 5 s."""
+    """11 upstreams with queues get 1.4 times the requests that they can serve, for 5 s."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -359,21 +361,21 @@
         self._events: list[tuple[float, int, str, Outcome, float]] = []
 
     def served(self) -> dict[str, float]:
-        """Return the shares of requests that were answered within the objective, by phase."""
+        """Return the part of the requests answered within the objective, by phase."""
         counts = {"overload": [0, 0], "after": [0, 0]}
         now_s = 0.0
         while now_s < 14.0:
             busy = 2.0 <= now_s < 7.0
             now_s += self._rng.expovariate(150.0 if busy else 55.0)
-            self._pass_until(now_s)
+            self._process_events(now_s)
             phase = "overload" if busy else "after" if now_s > 9.0 else None
-            in_time = self._one(now_s)
+            in_time = self._send_request(now_s)
             if phase is not None:
                 counts[phase][0] += in_time
                 counts[phase][1] += 1
         return {name: good / asked for name, (good, asked) in counts.items()}
 
-    def _one(self, now_s: float) -> bool:
+    def _send_request(self, now_s: float) -> bool:
         placement = self._placement
         query = _query(left_s=3.0, worth_s=1.2)
         choice = placement.choose(query, self._upstreams, now_s)
@@ -387,28 +389,28 @@
         free[slot] = end_s
         placement.load.started(name, now_s)
         waiting = max(choice.in_flight + 1 - 4, 0) / 4
-        usual_s = placement.durations.mean_s(_SERVICE) * (1.0 + waiting)
-        overdue_s = now_s + max(4.0 * usual_s, 0.8)
+        typical_s = placement.durations.mean_s(_SERVICE) * (1.0 + waiting)
+        overdue_s = now_s + max(4.0 * typical_s, 0.8)
         if overdue_s < end_s:
-            self._add(overdue_s, name, Outcome.OVERDUE, now_s)
-        self._add(end_s, name, Outcome.SUCCESS, now_s)
+            self._add_event(overdue_s, name, Outcome.OVERDUE, now_s)
+        self._add_event(end_s, name, Outcome.SUCCESS, now_s)
         return end_s - now_s <= 1.2
 
-    def _add(self, at_s: float, name: str, outcome: Outcome, started_s: float) -> None:
+    def _add_event(self, at_s: float, name: str, outcome: Outcome, started_s: float) -> None:
         number = self._rng.randrange(1 << 30)
         heapq.heappush(self._events, (at_s, number, name, outcome, started_s))
 
-    def _pass_until(self, now_s: float) -> None:
+    def _process_events(self, now_s: float) -> None:
         placement = self._placement
         while self._events and self._events[0][0] <= now_s:
             at_s, number, name, outcome, started_s = heapq.heappop(self._events)
             seen = Observation(name, outcome, at_s - started_s)
-            usual_s = placement.durations.mean_s(_SERVICE)
-            placement.suspicion.observe(seen, f"i{number % 30}", usual_s, at_s)
+            typical_s = placement.durations.mean_s(_SERVICE)
+            placement.suspicion.observe(seen, f"i{number % 30}", typical_s, at_s)
             placement.load.answered(name, at_s)
             if outcome is Outcome.SUCCESS:
-                under_way = placement.load.in_flight(name, at_s)
-                waiting = max(under_way - 4, 0) / 4
+                in_flight = placement.load.in_flight(name, at_s)
+                waiting = max(in_flight - 4, 0) / 4
                 work_s = seen.duration_s / (1.0 + waiting)
                 placement.durations.observe(_SERVICE, name, work_s)
                 placement.load.finished(name)
@@ -416,7 +418,7 @@
 
 class OverloadTest(EgretrailTestCase):
     @cases({f"seed {seed}": seed for seed in range(4)})
-    def test_an_overload_is_served_to_the_slots_and_leaves_nothing_behind(self, seed: int) -> None:
+    def test_an_overload_is_served_at_capacity_and_has_no_after_effect(self, seed: int) -> None:
         shares = OverloadReplay(seed).served()
         # 44 slots of 0.4 s serve 110 of 150 requests a second.
         self.assertGreater(shares["overload"], 0.6)
@@ -424,14 +426,14 @@
 
 
 class UrgencyTest(EgretrailTestCase):
-    """A service that gets more work than it has slots for, of two kinds."""
+    """An overloaded service gets requests of two priorities."""
 
-    def _served(self, *, told: bool) -> tuple[float, float]:
-        """Return which parts of the urgent and of the other requests are taken."""
+    def _served(self, *, knows_urgent: bool) -> tuple[float, float]:
+        """Return the parts of the urgent and of the other requests that are accepted."""
         placement, rng = _placement(), random.Random(5)
         ready = [_upstream(f"u{n}", slots=3) for n in range(7)]
         ends: list[tuple[float, str]] = []
-        asked, taken = [0, 0], [0, 0]
+        received, accepted = [0, 0], [0, 0]
         now_s = 0.0
         while now_s < 60.0:
             now_s += rng.expovariate(150.0)
@@ -441,28 +443,28 @@
             query = _query(
                 left_s=2.0,
                 worth_s=1.0 if is_other else 0.65,
-                urgent_objective_s=0.65 if is_other and told else None,
+                urgent_objective_s=0.65 if is_other and knows_urgent else None,
             )
-            asked[is_other] += 1
+            received[is_other] += 1
             choice = placement.choose(query, ready, now_s)
             if isinstance(choice, Choice):
-                taken[is_other] += 1
+                accepted[is_other] += 1
                 placement.load.started(choice.upstream.id, now_s)
-                waits = placement.load.in_flight(choice.upstream.id, now_s) - 3
-                end_s = now_s + rng.expovariate(1 / 0.3) + max(waits, 0) * 0.1
+                queued = placement.load.in_flight(choice.upstream.id, now_s) - 3
+                end_s = now_s + rng.expovariate(1 / 0.3) + max(queued, 0) * 0.1
                 heapq.heappush(ends, (end_s, choice.upstream.id))
-        return taken[0] / asked[0], taken[1] / asked[1]
+        return accepted[0] / received[0], accepted[1] / received[1]
 
-    def test_what_is_less_urgent_does_not_fill_the_queue_that_is_too_long_for_urgent_work(
+    def test_less_urgent_requests_leave_the_queue_short_enough_for_urgent_ones(
         self,
     ) -> None:
-        urgent_before, other_before = self._served(told=False)
-        urgent, other = self._served(told=True)
+        urgent_before, other_before = self._served(knows_urgent=False)
+        urgent, other = self._served(knows_urgent=True)
         self.assertLess(urgent_before, other_before / 2)
         self.assertGreater(urgent, 0.9 * other)
         self.assertGreater(other, other_before / 3)
 
-    def test_a_free_slot_is_anybodys(self) -> None:
+    def test_a_free_slot_is_used_at_any_priority(self) -> None:
         placement = _placement()
         query = _query(worth_s=1.0, urgent_objective_s=0.1)
         self.assertIsInstance(placement.choose(query, [_upstream("u")], 0.0), Choice)
--- a/src/egretrail/dispatch/tests/test_retry_budget.py
+++ b/src/egretrail/dispatch/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's repeats stay within its budget, also when all instances repeat at once."""
+"""The fleet's retries stay within its budget, even if all instances retry at once."""
 
 import random
 from collections.abc import Mapping
@@ -16,20 +16,20 @@
 _RATIO, _WINDOW_S, _SLACK = 0.2, 10.0, 60.0
 
 
-def _tell_all(fleet: Mapping[int, RepeatBudget], now_s: float) -> None:
+def _exchange_counts(fleet: Mapping[int, RepeatBudget], now_s: float) -> None:
     for origin, budget in fleet.items():
-        told = budget.own_counts().get(_SERVICE, RepeatCounts())
+        counts = budget.own_counts().get(_SERVICE, RepeatCounts())
         for other in fleet.values():
             if other is not budget:
-                other.told(str(origin), _SERVICE, told, now_s)
+                other.told(str(origin), _SERVICE, counts, now_s)
 
 
 class FleetBudgetTest(EgretrailTestCase):
     @cases(
         {
-            "told within 50 ms": (0.05, 1.0),
-            "told within half a second": (0.5, 1.0),
-            "nobody hears anybody": (float("inf"), 1 / 20),
+            "counts exchanged every 50 ms": (0.05, 1.0),
+            "counts exchanged every half second": (0.5, 1.0),
+            "no counts exchanged": (float("inf"), 1 / 20),
         }
     )
     def test_every_window_of_the_fleet_is_within_the_budget(
@@ -40,37 +40,37 @@
         rng = random.Random(3)
         fleet = [RepeatBudget(_RATIO, _WINDOW_S, _SLACK) for _ in range(count)]
         requests: list[float] = []
-        repeats: list[float] = []
-        told_s = 0.0
+        retries: list[float] = []
+        exchanged_s = 0.0
         for step in range(8000):
             now_s = step / 200
             who = fleet[rng.randrange(count)]
             who.routed(_SERVICE, now_s)
             requests.append(now_s)
-            # Every request fails, and each instance repeats whatever it may.
+            # Every request fails, and each instance retries whatever the budget permits.
             if who.permits(_SERVICE, now_s, known_share):
                 who.repeated(_SERVICE, now_s)
-                repeats.append(now_s)
-            if now_s - told_s >= delay_s:
-                told_s = now_s
+                retries.append(now_s)
+            if now_s - exchanged_s >= delay_s:
+                exchanged_s = now_s
                 for number, origin in enumerate(fleet):
                     counts = origin.own_counts()[_SERVICE] if origin.own_counts() else None
                     for other in fleet:
                         if other is not origin and counts is not None:
                             other.told(str(number), _SERVICE, counts, now_s)
         for begin in range(30):
-            window = [t for t in repeats if begin <= t < begin + _WINDOW_S]
-            asked = [t for t in requests if begin <= t < begin + _WINDOW_S]
-            self.assertLessEqual(len(window), _RATIO * len(asked) + _SLACK)
-        self.assertGreater(len(repeats), 0.02 * len(requests))
+            window = [t for t in retries if begin <= t < begin + _WINDOW_S]
+            sent = [t for t in requests if begin <= t < begin + _WINDOW_S]
+            self.assertLessEqual(len(window), _RATIO * len(sent) + _SLACK)
+        self.assertGreater(len(retries), 0.02 * len(requests))
 
-    def test_instances_that_start_one_after_the_other_do_not_pass_the_budget(self) -> None:
-        """Each knew of no repeats before its start, and took a whole constant allowance anew."""
+    def test_a_rolling_restart_does_not_exceed_the_budget(self) -> None:
+        """Restarted instances know of no earlier retries and must not use the allowance again."""
         slack, rng = 190.0, random.Random(3)
         fleet = {number: RepeatBudget(_RATIO, _WINDOW_S, slack) for number in range(40)}
         requests: list[float] = []
-        repeats: list[float] = []
-        told_s, started_s = 0.0, 12.0
+        retries: list[float] = []
+        exchanged_s, started_s = 0.0, 12.0
         for step in range(600 * 24):
             now_s = step / 600
             name = rng.choice(list(fleet))
@@ -79,36 +79,36 @@
             for _ in range(2):
                 if fleet[name].permits(_SERVICE, now_s, 1.0, 1 / 40):
                     fleet[name].repeated(_SERVICE, now_s)
-                    repeats.append(now_s)
-            if now_s - told_s >= 0.25:
-                told_s = now_s
-                _tell_all(fleet, now_s)
+                    retries.append(now_s)
+            if now_s - exchanged_s >= 0.25:
+                exchanged_s = now_s
+                _exchange_counts(fleet, now_s)
             if now_s - started_s >= 0.08:
                 started_s = now_s
                 del fleet[min(fleet)]
                 newcomer = RepeatBudget(_RATIO, _WINDOW_S, slack, started_s=now_s)
                 fleet[max(fleet) + 1] = newcomer
         for begin in range(15):
-            window = [t for t in repeats if begin <= t < begin + _WINDOW_S]
-            asked = [t for t in requests if begin <= t < begin + _WINDOW_S]
-            self.assertLessEqual(len(window), _RATIO * len(asked) + slack)
+            window = [t for t in retries if begin <= t < begin + _WINDOW_S]
+            sent = [t for t in requests if begin <= t < begin + _WINDOW_S]
+            self.assertLessEqual(len(window), _RATIO * len(sent) + slack)
 
-    def test_an_instance_that_has_just_started_has_its_part_of_the_constant_allowance(self) -> None:
+    def test_a_new_instance_has_its_share_of_the_constant_allowance(self) -> None:
         budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK, started_s=0.0)
-        taken = 0
+        used = 0
         while budget.permits(_SERVICE, 1.0, 1.0, 1 / 3):
             budget.repeated(_SERVICE, 1.0)
-            taken += 1
-        self.assertEqual(int(0.5 * _SLACK / 3), taken)
+            used += 1
+        self.assertEqual(int(0.5 * _SLACK / 3), used)
 
-    def test_the_use_is_told_by_service(self) -> None:
+    def test_usage_by_service(self) -> None:
         budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
         for _ in range(100):
             budget.routed(_SERVICE, 1.0)
         budget.repeated(_SERVICE, 1.0)
         [(service, use)] = budget.uses(2.0, 0.5).items()
         self.assertEqual((_SERVICE, 1), (service, use.repeats))
-        # Three quarters of a fifth of the requests and half of the slack.
+        # Three quarters of: a fifth of the requests, and half of the slack.
         self.assertAlmostEqual(0.75 * (20 + 30), use.allowed)
         self.assertEqual(0, budget.uses(13.0, 0.5)[_SERVICE].repeats)
 
@@ -120,14 +120,14 @@
             "a longer window and less": (0.1, 20.0, 20.0),
         }
     )
-    def test_every_window_after_a_change_is_within_the_changed_budget(
+    def test_every_window_after_a_change_is_within_the_new_budget(
         self, case: tuple[float, float, float]
     ) -> None:
         ratio, window_s, slack = case
         budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
         changed_s, end_s = 40.0, 120.0
         requests: list[float] = []
-        repeats: list[float] = []
+        retries: list[float] = []
         for step in range(round(end_s * 20)):
             now_s = step / 20
             if now_s == changed_s:
@@ -137,19 +137,19 @@
                 requests.append(now_s)
             while budget.permits(_SERVICE, now_s, 1.0):
                 budget.repeated(_SERVICE, now_s)
-                repeats.append(now_s)
-        # What the bounds before the change allowed is not taken back: a window that ends soon after
-        # it holds the larger of both.
+                retries.append(now_s)
+        # Retries that the previous budget allowed stay counted: a window that ends soon after the
+        # change holds the larger of both.
         for end in range(round(changed_s) + 1, round(end_s)):
             begin = end - window_s
-            late = [t for t in repeats if max(begin, changed_s) <= t < end]
-            early = [t for t in repeats if begin <= t < changed_s]
-            asked = [t for t in requests if begin <= t < end]
-            allowed = ratio * len(asked) + slack
+            late = [t for t in retries if max(begin, changed_s) <= t < end]
+            early = [t for t in retries if begin <= t < changed_s]
+            sent = [t for t in requests if begin <= t < end]
+            allowed = ratio * len(sent) + slack
             self.assertLessEqual(len(late) + len(early), max(allowed, len(early)))
-        self.assertGreater(len([t for t in repeats if t > changed_s + window_s]), 0)
+        self.assertGreater(len([t for t in retries if t > changed_s + window_s]), 0)
 
-    def test_a_restarted_instance_brings_no_old_counts(self) -> None:
+    def test_the_first_counts_of_a_peer_are_ignored(self) -> None:
         budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
         other = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
         for _ in range(500):
@@ -158,25 +158,25 @@
         self.assertTrue(budget.permits(_SERVICE, 100.0, 1.0))
 
 
-class RefusingSpellTest(EgretrailTestCase):
-    """All upstreams of a service refuse 55% of their work for eight seconds."""
+class SheddingPeriodTest(EgretrailTestCase):
+    """All upstreams of a service shed 55% of their requests for eight seconds."""
 
-    _REFUSED, _SPELL_S, _RATE = 0.55, 8.0, 200
+    _SHED_SHARE, _PERIOD_S, _RATE = 0.55, 8.0, 200
 
     @cases({"seed 1": 1, "seed 2": 2, "seed 3": 3})
-    def test_the_budget_lasts_through_the_spell(self, seed: int) -> None:
+    def test_the_budget_lasts_through_the_period(self, seed: int) -> None:
         rng = random.Random(seed)
         budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
-        served = [0] * int(self._SPELL_S)
-        for step in range(-int(_WINDOW_S) * self._RATE, int(self._SPELL_S) * self._RATE):
+        served = [0] * int(self._PERIOD_S)
+        for step in range(-int(_WINDOW_S) * self._RATE, int(self._PERIOD_S) * self._RATE):
             now_s = _WINDOW_S + step / self._RATE
             budget.routed(_SERVICE, now_s)
             if step < 0:
                 continue
-            answered = rng.random() >= self._REFUSED
+            answered = rng.random() >= self._SHED_SHARE
             if not answered and budget.permits(_SERVICE, now_s, 1.0):
                 budget.repeated(_SERVICE, now_s)
-                answered = rng.random() >= self._REFUSED
+                answered = rng.random() >= self._SHED_SHARE
             served[step // self._RATE] += answered
         shares = [count / self._RATE for count in served]
         self.assertGreater(min(shares), 0.42)
@@ -186,25 +186,25 @@
 class FleetLoadTest(EgretrailTestCase):
     @cases(
         {
-            "own and told": ([("b", {"u": 2}), ("c", {"u": 1})], [], 0.0, 4),
-            "a later word replaces the earlier": ([("b", {"u": 2}), ("b", {"u": 1})], [], 0.0, 2),
-            "a dead instance's requests are gone": (
+            "own and peers' counts": ([("b", {"u": 2}), ("c", {"u": 1})], [], 0.0, 4),
+            "later counts replace earlier ones": ([("b", {"u": 2}), ("b", {"u": 1})], [], 0.0, 2),
+            "a dead instance's requests are removed": (
                 [("b", {"u": 2}), ("c", {"u": 1})],
                 ["b"],
                 0.0,
                 2,
             ),
-            "a fresh report of more": ([("b", {"u": 1})], [], 0.1, 7),
+            "a recent report of more": ([("b", {"u": 1})], [], 0.1, 7),
             "an old report": ([("b", {"u": 1})], [], 1.0, 2),
         }
     )
     def test_in_flight(
         self, case: tuple[list[tuple[str, dict[str, int]]], list[str], float, int]
     ) -> None:
-        told, gone, now_s, expected = case
+        peer_counts, gone, now_s, expected = case
         load = FleetLoad()
         load.started("u", 0.0)
-        for origin, counts in told:
+        for origin, counts in peer_counts:
             load.told(origin, counts, 0.0)
         for origin in gone:
             load.forget(origin)
@@ -213,27 +213,27 @@
         self.assertEqual(expected, load.in_flight("u", now_s))
 
 
-class QuietTest(EgretrailTestCase):
+class UnresponsiveTest(EgretrailTestCase):
     @cases(
         {
             "idle": ([], 0.0),
-            "busy, no answer": ([("start", 1.0)], 4.0),
-            "answered since": ([("start", 1.0), ("answer", 3.0)], 2.0),
-            "an answer before": ([("answer", 0.5), ("start", 1.0)], 4.0),
-            "told by another": ([("told", 2.0)], 3.0),
-            "another's count changed meanwhile": ([("told", 2.0), ("more", 4.0)], 3.0),
+            "busy, no response": ([("start", 1.0)], 4.0),
+            "response since": ([("start", 1.0), ("response", 3.0)], 2.0),
+            "response before": ([("response", 0.5), ("start", 1.0)], 4.0),
+            "counted by a peer": ([("peer", 2.0)], 3.0),
+            "a peer's count changed meanwhile": ([("peer", 2.0), ("peer more", 4.0)], 3.0),
             "idle in between": ([("start", 1.0), ("end", 2.0), ("start", 3.0)], 2.0),
         }
     )
-    def test_quiet_for(self, case: tuple[list[tuple[str, float]], float]) -> None:
+    def test_unresponsive_for(self, case: tuple[list[tuple[str, float]], float]) -> None:
         events, expected_s = case
         load = FleetLoad()
         acts = {
             "start": lambda at_s: load.started("u", at_s),
             "end": lambda at_s: load.finished("u"),
-            "answer": lambda at_s: load.answered("u", at_s),
-            "told": lambda at_s: load.told("b", {"u": 1}, at_s),
-            "more": lambda at_s: load.told("b", {"u": 2}, at_s),
+            "response": lambda at_s: load.answered("u", at_s),
+            "peer": lambda at_s: load.told("b", {"u": 1}, at_s),
+            "peer more": lambda at_s: load.told("b", {"u": 2}, at_s),
         }
         for name, at_s in events:
             acts[name](at_s)
@@ -246,11 +246,11 @@
             "two losses": (["u1", "u2"], False, 1.0, False),
             "three losses": (["u1", "u2", "u3"], False, 1.0, True),
             "one upstream, three times": (["u1", "u1", "u1"], False, 1.0, False),
-            "three losses and an answer": (["u1", "u2", "u3"], True, 1.0, False),
+            "three losses and a response": (["u1", "u2", "u3"], True, 1.0, False),
             "three losses long ago": (["u1", "u2", "u3"], False, 60.0, False),
         }
     )
-    def test_refusal(self, case: tuple[list[str], bool, float, bool]) -> None:
+    def test_is_blocked(self, case: tuple[list[str], bool, float, bool]) -> None:
         lost, answered, now_s, expected = case
         digest = request_digest([b"GET", b"shop", b"/read/1", b""])
         crashing = CrashingRequests()
@@ -260,5 +260,5 @@
             crashing.answered(digest)
         self.assertIs(expected, crashing.refuses(digest, now_s))
 
-    def test_digests_tell_where_a_part_ends(self) -> None:
+    def test_digests_depend_on_where_a_part_ends(self) -> None:
         self.assertNotEqual(request_digest([b"ab", b"c"]), request_digest([b"a", b"bc"]))
--- a/src/egretrail/dispatch/tests/test_slot_shares.py
+++ b/src/egretrail/dispatch/tests/test_slot_shares.py
@@ -1,4 +1,4 @@
-"""Instances that hear of each other's requests late, before upstreams with few slots."""
+"""Instances learn of each other's requests late, and upstreams have few slots."""
 
 import heapq
 import random
@@ -20,7 +20,7 @@
 from egretrail.traffic import UpstreamRecord, UpstreamState
 
 _INSTANCES, _UPSTREAMS, _SLOTS = 33, 30, 3
-_WORK_S, _TOLD_S, _LENGTH_S = 0.22, 0.12, 12.0
+_WORK_S, _EXCHANGE_S, _LENGTH_S = 0.22, 0.12, 12.0
 _RECORDS = [
     UpstreamRecord(f"u{n}", "s", "10.0.0.1:1", "z", _SLOTS, UpstreamState.READY)
     for n in range(_UPSTREAMS)
@@ -50,7 +50,7 @@
 
 
 class _Replay:
-    """Requests at a share of all slots; counts are told every so often, half as late."""
+    """Requests at a share of all slots; counts are exchanged at intervals, half of one late."""
 
     def __init__(self, load: float, seed: int, *, shared: bool) -> None:
         self._rng = random.Random(seed)
@@ -64,9 +64,9 @@
         self._durations_s: list[float] = []
 
     def mean_s(self) -> float:
-        """Return how long requests take on average, their waits included."""
+        """Return the mean duration of requests, including their waits."""
         self._at(0.0, self._arrive)
-        self._at(_TOLD_S, self._tell)
+        self._at(_EXCHANGE_S, self._send_counts)
         while self._events and self._events[0][0] < _LENGTH_S:
             now_s, _, act = heapq.heappop(self._events)
             act(now_s)
@@ -93,40 +93,40 @@
     def _run(self, upstream_id: str, now_s: float) -> None:
         if self._running[upstream_id] == _SLOTS or not self._waiting[upstream_id]:
             return
-        instance, came_s = self._waiting[upstream_id].pop(0)
+        instance, arrived_s = self._waiting[upstream_id].pop(0)
         self._running[upstream_id] += 1
         work_s = _WORK_S * self._rng.lognormvariate(-0.125, 0.5)
-        self._at(now_s + work_s, lambda at_s: self._end(upstream_id, instance, came_s, at_s))
+        self._at(now_s + work_s, lambda at_s: self._end(upstream_id, instance, arrived_s, at_s))
 
-    def _end(self, upstream_id: str, instance: int, came_s: float, now_s: float) -> None:
+    def _end(self, upstream_id: str, instance: int, arrived_s: float, now_s: float) -> None:
         self._running[upstream_id] -= 1
         self._own[instance][upstream_id] -= 1
         self._placements[instance].load.finished(upstream_id)
-        self._durations_s.append(now_s - came_s)
+        self._durations_s.append(now_s - arrived_s)
         self._run(upstream_id, now_s)
 
-    def _tell(self, now_s: float) -> None:
-        self._at(now_s + _TOLD_S, self._tell)
+    def _send_counts(self, now_s: float) -> None:
+        self._at(now_s + _EXCHANGE_S, self._send_counts)
         own = [dict(counts) for counts in self._own]
-        self._at(now_s + _TOLD_S / 2, lambda at_s: self._hear(own, at_s))
+        self._at(now_s + _EXCHANGE_S / 2, lambda at_s: self._receive_counts(own, at_s))
 
-    def _hear(self, own: list[dict[str, int]], now_s: float) -> None:
+    def _receive_counts(self, own: list[dict[str, int]], now_s: float) -> None:
         totals = {one.id: sum(counts.get(one.id, 0) for counts in own) for one in _RECORDS}
         for placement, counts in zip(self._placements, own, strict=True):
             others = {key: total - counts.get(key, 0) for key, total in totals.items()}
-            told = {key: count for key, count in others.items() if count}
-            placement.load.told("others", told, now_s)
+            peer_counts = {key: count for key, count in others.items() if count}
+            placement.load.told("others", peer_counts, now_s)
 
 
 class SlotSharesTest(EgretrailTestCase):
     @cases({"half of the slots": (0.5, 0.35), "nearly all slots": (0.95, 0.05)})
-    def test_instances_that_prefer_their_slots_wait_less(self, case: tuple[float, float]) -> None:
-        load, less = case
-        apart = sum(_Replay(load, seed, shared=True).mean_s() for seed in (1, 2)) / 2
-        alike = sum(_Replay(load, seed, shared=False).mean_s() for seed in (1, 2)) / 2
-        self.assertLess(apart - _WORK_S, (1.0 - less) * (alike - _WORK_S))
+    def test_slot_shares_reduce_waits(self, case: tuple[float, float]) -> None:
+        load, reduction = case
+        with_shares = sum(_Replay(load, seed, shared=True).mean_s() for seed in (1, 2)) / 2
+        without_shares = sum(_Replay(load, seed, shared=False).mean_s() for seed in (1, 2)) / 2
+        self.assertLess(with_shares - _WORK_S, (1.0 - reduction) * (without_shares - _WORK_S))
 
-    def test_each_slot_is_one_instances_share(self) -> None:
+    def test_each_slot_is_the_share_of_one_instance(self) -> None:
         for record in _RECORDS:
             owners = [
                 number
@@ -135,12 +135,12 @@
             ]
             self.assertEqual(_SLOTS, len(owners))
 
-    def test_few_instances_have_a_share_of_all_upstreams(self) -> None:
+    def test_no_more_instances_than_slots_have_a_share_of_every_upstream(self) -> None:
         for rank in range(_SLOTS):
             shares = SlotShares(lambda task, r=rank: r)  # type: ignore
             self.assertTrue(all(shares.owns(record) for record in _RECORDS))
 
-    def test_slots_are_shared_anew_after_a_change(self) -> None:
+    def test_shares_are_recomputed_after_a_change(self) -> None:
         ranks = [0]
         shares = SlotShares(lambda task: ranks[0])
         self.assertTrue(shares.owns(_RECORDS[0]))
--- a/src/egretrail/dispatch/tests/test_suspicion.py
+++ b/src/egretrail/dispatch/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Which observations take an upstream out of service, and which bring it back."""
+"""Which observations take an upstream out of service, and which return it to service."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 _UPSTREAM_ID = "up-1"
 _TYPICAL_S = 0.3
 
-#: When, who, what, and how long the request took.
+#: Time, observer, outcome and duration of a request.
 Event = tuple[float, str, Outcome, float]
 
 
@@ -21,31 +21,31 @@
     return suspicions
 
 
-class StandingTest(EgretrailTestCase):
+class UpstreamHealthTest(EgretrailTestCase):
     @cases(
         {
-            "unknown": ([], 1.0, Standing.GOOD),
+            "no observation": ([], 1.0, Standing.GOOD),
             "a quick failure of another instance": (
                 [(1.0, "a", Outcome.FAILED, 0.003)],
                 1.0,
                 Standing.SUSPECT,
             ),
-            "one failure that took as long as work": (
+            "a failure that took as long as a normal request": (
                 [(1.0, "a", Outcome.FAILED, 0.3)],
                 1.0,
                 Standing.GOOD,
             ),
-            "two of them": (
+            "two full-length failures": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (2.0, "a", Outcome.FAILED, 0.3)],
                 2.0,
                 Standing.DOUBTED,
             ),
-            "two of them, later": (
+            "two full-length failures, later": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (2.0, "a", Outcome.FAILED, 0.3)],
                 5.0,
                 Standing.GOOD,
             ),
-            "a quick failure after them": (
+            "two full-length failures, then a quick one": (
                 [
                     (1.0, "a", Outcome.FAILED, 0.3),
                     (2.0, "a", Outcome.FAILED, 0.3),
@@ -54,17 +54,17 @@
                 2.1,
                 Standing.SUSPECT,
             ),
-            "requests that many instances find overdue": (
+            "overdue requests of many instances": (
                 [(1.0 + n / 10, f"i{n}", Outcome.OVERDUE, 1.5) for n in range(9)],
                 2.0,
                 Standing.DOUBTED,
             ),
-            "the own overdue request": (
+            "an overdue request of this instance": (
                 [(1.0, "me", Outcome.OVERDUE, 1.5)],
                 1.0,
                 Standing.GOOD,
             ),
-            "two of them long apart": (
+            "two full-length failures, far apart": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (9.0, "a", Outcome.FAILED, 0.3)],
                 9.0,
                 Standing.GOOD,
@@ -75,32 +75,32 @@
                 1.2,
                 Standing.SUSPECT,
             ),
-            "a quick reset after a late failure": (
+            "a quick reset after a full-length failure": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (1.2, "b", Outcome.BROKEN, 0.01)],
                 1.2,
                 Standing.SUSPECT,
             ),
-            "two quick resets long apart": (
+            "two quick resets far apart": (
                 [(1.0, "a", Outcome.BROKEN, 0.01), (6.2, "a", Outcome.BROKEN, 0.01)],
                 6.2,
                 Standing.GOOD,
             ),
-            "another instance's broken path": (
+            "unreachable from another instance": (
                 [(1.0, "a", Outcome.UNREACHABLE, 0.35), (2.0, "a", Outcome.SILENT, 1.5)],
                 2.0,
                 Standing.GOOD,
             ),
-            "the own broken path": (
+            "unreachable from this instance": (
                 [(1.0, "me", Outcome.UNREACHABLE, 0.35)],
                 2.0,
                 Standing.UNREACHED,
             ),
-            "the own broken path again, two seconds later": (
+            "unreachable from this instance again, two seconds later": (
                 [(1.0, "me", Outcome.UNREACHABLE, 0.35), (3.0, "me", Outcome.UNREACHABLE, 0.35)],
                 5.5,
                 Standing.UNREACHED,
             ),
-            "the own broken path again, after an answer": (
+            "unreachable from this instance again, after a response": (
                 [
                     (1.0, "me", Outcome.UNREACHABLE, 0.35),
                     (2.0, "me", Outcome.SUCCESS, 0.3),
@@ -109,7 +109,7 @@
                 5.0,
                 Standing.GOOD,
             ),
-            "two instances that do not reach it, and one that does in between": (
+            "unreachable from two instances, reached by a third in between": (
                 [
                     (1.0, "a", Outcome.UNREACHABLE, 0.35),
                     (1.2, "c", Outcome.SUCCESS, 0.3),
@@ -118,7 +118,7 @@
                 1.5,
                 Standing.GOOD,
             ),
-            "an instance that does not reach an upstream under trial": (
+            "unreachable from one instance while on probation": (
                 [
                     (1.0, "a", Outcome.FAILED, 0.003),
                     (6.0, "b", Outcome.SUCCESS, 0.3),
@@ -127,42 +127,42 @@
                 6.5,
                 Standing.PROBATION,
             ),
-            "the own broken path, later": (
+            "unreachable from this instance, later": (
                 [(1.0, "me", Outcome.UNREACHABLE, 0.35)],
                 3.0,
                 Standing.GOOD,
             ),
-            "two instances that do not reach it": (
+            "unreachable from two instances": (
                 [(1.0, "a", Outcome.UNREACHABLE, 0.35), (1.5, "b", Outcome.SILENT, 1.5)],
                 2.0,
                 Standing.SUSPECT,
             ),
-            "refusals without work": (
+            "shed requests": (
                 [(1.0 + n / 10, "a", Outcome.SHED, 0.002) for n in range(9)],
                 2.0,
                 Standing.GOOD,
             ),
-            "requests whose own time ended": (
+            "requests whose deadline passed": (
                 [(1.0 + n / 10, "a", Outcome.EXPIRED, 0.4) for n in range(9)],
                 2.0,
                 Standing.GOOD,
             ),
-            "a success of work that was under way when the doubt began": (
+            "a success of a request sent before the suspicion": (
                 [(1.0, "a", Outcome.FAILED, 0.003), (1.3, "b", Outcome.SUCCESS, 0.4)],
                 1.3,
                 Standing.SUSPECT,
             ),
-            "a late word of such a success, from another zone": (
+            "such a success, reported late from another zone": (
                 [(1.0, "a", Outcome.FAILED, 0.003), (1.5, "b", Outcome.SUCCESS, 0.4)],
                 1.5,
                 Standing.SUSPECT,
             ),
-            "one success after the doubt": (
+            "one success after the suspicion began": (
                 [(1.0, "a", Outcome.FAILED, 0.003), (5.5, "b", Outcome.SUCCESS, 0.4)],
                 5.5,
                 Standing.PROBATION,
             ),
-            "two successes after the doubt": (
+            "two successes after the suspicion began": (
                 [
                     (1.0, "a", Outcome.FAILED, 0.003),
                     (5.5, "b", Outcome.SUCCESS, 0.4),
@@ -171,7 +171,7 @@
                 6.0,
                 Standing.GOOD,
             ),
-            "a failure in between": (
+            "a failure between two successes": (
                 [
                     (1.0, "a", Outcome.FAILED, 0.003),
                     (5.5, "b", Outcome.SUCCESS, 0.4),
@@ -183,13 +183,13 @@
             ),
         }
     )
-    def test_standing(self, case: tuple[Sequence[Event], float, Standing]) -> None:
+    def test_health(self, case: tuple[Sequence[Event], float, Standing]) -> None:
         events, now_s, expected = case
         self.assertIs(expected, _suspicions_after(events).standing(_UPSTREAM_ID, now_s))
 
 
 class PauseTest(EgretrailTestCase):
-    def test_pauses_grow_with_failed_trials_and_end_at_the_longest(self) -> None:
+    def test_pauses_grow_with_failed_trials_up_to_the_maximum(self) -> None:
         suspicions = _suspicions_after([(0.0, "a", Outcome.FAILED, 0.003)])
         now_s = 0.0
         pauses = []
@@ -205,21 +205,21 @@
         self.assertAlmostEqual(FIRST_PAUSE_S, pauses[0], delta=0.2)
         self.assertAlmostEqual(8.0, pauses[-1], delta=0.2)
 
-    def test_failures_of_work_under_way_do_not_lengthen_the_pause(self) -> None:
+    def test_failures_of_requests_in_flight_do_not_extend_the_pause(self) -> None:
         events: list[Event] = [(1.0, "a", Outcome.FAILED, 0.003)]
         events += [(1.0 + n / 100, "b", Outcome.FAILED, 0.3) for n in range(20)]
         self.assertGreaterEqual(
             _suspicions_after(events).overdue_s(_UPSTREAM_ID, FIRST_PAUSE_S + 1.1), 0.0
         )
 
-    def test_haste_shortens_the_pause(self) -> None:
+    def test_a_pause_factor_below_1_shortens_the_pause(self) -> None:
         suspicions = _suspicions_after([(0.0, "a", Outcome.FAILED, 0.003)])
         self.assertLess(suspicions.overdue_s(_UPSTREAM_ID, 2.0), 0.0)
         self.assertGreaterEqual(suspicions.overdue_s(_UPSTREAM_ID, 2.0, pause_factor=0.4), 0.0)
 
 
-class AdoptionTest(EgretrailTestCase):
-    def test_an_instance_that_has_just_started_doubts_what_its_peers_doubt(self) -> None:
+class ImportTest(EgretrailTestCase):
+    def test_an_instance_that_has_just_started_suspects_what_its_peers_suspect(self) -> None:
         peer = _suspicions_after([(10.0, "a", Outcome.FAILED, 0.003)])
         fresh = SuspicionBook("fresh")
         fresh.adopt(peer.records(12.0), 112.0)
@@ -228,15 +228,15 @@
             peer.overdue_s(_UPSTREAM_ID, 12.0), fresh.overdue_s(_UPSTREAM_ID, 112.0)
         )
 
-    def test_what_it_has_seen_itself_counts_for_more(self) -> None:
+    def test_own_suspicions_take_precedence(self) -> None:
         fresh = _suspicions_after([(112.0, "a", Outcome.FAILED, 0.003)])
         before_s = fresh.overdue_s(_UPSTREAM_ID, 112.0)
         fresh.adopt(_suspicions_after([(1.0, "a", Outcome.FAILED, 0.003)]).records(9.0), 112.0)
         self.assertEqual(before_s, fresh.overdue_s(_UPSTREAM_ID, 112.0))
 
 
-class ShortOfRoomTest(EgretrailTestCase):
-    def test_an_upstream_that_refuses_again_counts_as_short_of_room_for_longer(self) -> None:
+class SheddingTest(EgretrailTestCase):
+    def test_repeated_refusals_count_as_shedding_for_longer(self) -> None:
         once = _suspicions_after([(0.0, "a", Outcome.SHED, 0.002)])
         often = _suspicions_after([(n * 0.3, "a", Outcome.SHED, 0.002) for n in range(5)])
         self.assertTrue(once.is_shedding(_UPSTREAM_ID, 0.2))
--- a/src/egretrail/traffic/tests/test_traffic.py
+++ b/src/egretrail/traffic/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""Routes, splits and the table of upstreams."""
+"""Routes, weighted services, objectives and the table of upstreams."""
 
 import random
 from collections import Counter
@@ -59,7 +59,7 @@
             "other host": ("other", "/a/c", None),
             "no prefix of the host": ("o", "/a/c", None),
             "no path": ("shop.example", "", None),
-            "not a whole segment": ("o", "/xy", None),
+            "incomplete path segment": ("o", "/xy", None),
         }
     )
     def test_find(self, case: tuple[str, str, str | None]) -> None:
@@ -68,16 +68,16 @@
         self.assertEqual(expected, route.name if route is not None else None)
 
 
-class UrgencyTableTest(EgretrailTestCase):
-    def test_the_shortest_objective_of_what_is_more_urgent(self) -> None:
+class ObjectiveTableTest(EgretrailTestCase):
+    def test_the_shortest_objective_of_more_urgent_requests(self) -> None:
         urgent = replace(_route("u", "/u/"), priority=0, objective_s=0.5)
-        usual = replace(_route("v", "/v/"), priority=2, objective_s=0.2)
-        table = UrgencyTable(FleetConfig(1, [urgent, usual], {}, ClientLimits()))
+        normal = replace(_route("v", "/v/"), priority=2, objective_s=0.2)
+        table = UrgencyTable(FleetConfig(1, [urgent, normal], {}, ClientLimits()))
         found = [table.shortest_objective_s("s0", priority) for priority in (0, 1, 2, 3)]
         self.assertEqual([None, 0.5, 0.5, 0.2], found)
         self.assertIsNone(table.shortest_objective_s("other", 3))
 
-    def test_the_priority_of_an_account_goes_first(self) -> None:
+    def test_the_priority_of_an_account_takes_precedence(self) -> None:
         route = replace(_route("u", "/u/"), priority=0, objective_s=0.5)
         accounts = [ClientAccount("a", (), 1, 0.0, 0.0), ClientAccount("b", (), None, 0.0, 0.0)]
         self.assertEqual([1, 0, 0], [request_priority(route, one) for one in [*accounts, None]])
@@ -87,7 +87,7 @@
         self.assertEqual(0.5, UrgencyTable(public).shortest_objective_s("s0", 1))
 
 
-class SplitTest(EgretrailTestCase):
+class WeightedServicesTest(EgretrailTestCase):
     @cases({"even": (1.0, 1.0), "one in ten": (90.0, 10.0), "three": (5.0, 3.0, 2.0)})
     def test_shares_follow_the_weights(self, weights: tuple[float, ...]) -> None:
         route = _route("r", "/", "shop.example", *weights)
@@ -108,27 +108,27 @@
     def _ready(self, table: UpstreamTable) -> set[str]:
         return {record.id for record in table.ready("s")}
 
-    def test_an_older_list_changes_nothing(self) -> None:
+    def test_an_older_list_is_ignored(self) -> None:
         table = UpstreamTable()
         self.assertTrue(table.replace([_record("u1")], 10))
         self.assertFalse(table.replace([_record("u2")], 9))
         self.assertEqual({"u1"}, self._ready(table))
 
-    def test_an_upstream_that_left_never_takes_work_again(self) -> None:
+    def test_a_drained_upstream_never_becomes_ready_again(self) -> None:
         table = UpstreamTable()
         table.replace([_record("u1"), _record("u2")], 10)
         table.apply({"u1": _record("u1", UpstreamState.DRAINING)}, 11)
         table.replace([_record("u1"), _record("u2")], 12)
         self.assertEqual({"u2"}, self._ready(table))
 
-    def test_an_upstream_whose_address_answers_for_another_takes_no_work(self) -> None:
+    def test_an_upstream_whose_address_responds_for_another_is_not_ready(self) -> None:
         table = UpstreamTable()
         table.replace([_record("u1")], 10)
         table.mark_gone("u1")
         table.replace([_record("u1")], 12)
         self.assertEqual(set(), self._ready(table))
 
-    def test_removed_upstreams_are_gone_and_may_be_listed_again(self) -> None:
+    def test_removed_upstreams_may_be_listed_again(self) -> None:
         table = UpstreamTable()
         table.replace([_record("u1")], 10)
         table.apply({"u1": None}, 11)
@@ -137,13 +137,13 @@
         self.assertEqual({"u1"}, self._ready(table))
 
 
-#: One change of the store: a name with the start of its lifetime, None for a removal.
+#: A change of the store: a name with the start of its lifetime, None for a removal.
 Change = tuple[str, int | None, UpstreamState]
 _READY, _DRAINING = UpstreamState.READY, UpstreamState.DRAINING
 
 
 class LifetimesTest(EgretrailTestCase):
-    """An upstream that starts again under its name is another one."""
+    """An upstream that restarts under its name is another lifetime."""
 
     @cases(
         {
@@ -153,13 +153,13 @@
                 {9},
             ),
             "a start in place of another": ([("u", 5, _READY), ("u", 9, _READY)], {9}),
-            "a late word of the old one": ([("u", 9, _READY), ("u", 5, _READY)], {9}),
+            "a late record of the old one": ([("u", 9, _READY), ("u", 5, _READY)], {9}),
             "a late drain of the old one": ([("u", 9, _READY), ("u", 5, _DRAINING)], {9}),
-            "a late word after both are gone": (
+            "a late record after both are gone": (
                 [("u", 9, _READY), ("u", None, _READY), ("u", 5, _READY)],
                 set(),
             ),
-            "the drained one says ready": ([("u", 9, _DRAINING), ("u", 9, _READY)], set()),
+            "the drained one reports ready": ([("u", 9, _DRAINING), ("u", 9, _READY)], set()),
             "a removal after a new start": (
                 [("u", 5, _READY), ("u", 9, _READY), ("u", None, _READY)],
                 set(),
@@ -167,7 +167,7 @@
             "two names": ([("u", 5, _READY), ("v", 4, _READY), ("u", 9, _READY)], {4, 9}),
         }
     )
-    def test_which_lifetimes_take_work(self, case: tuple[Sequence[Change], set[int]]) -> None:
+    def test_which_lifetimes_are_ready(self, case: tuple[Sequence[Change], set[int]]) -> None:
         changes, expected = case
         for whole in (False, True):
             table = UpstreamTable()
@@ -180,7 +180,7 @@
                     table.apply({name: record}, revision)
             self.assertEqual(expected, {record.started_ms for record in table.ready("s")})
 
-    def test_an_answer_for_another_lifetime_ends_only_the_one_that_was_meant(self) -> None:
+    def test_a_response_for_another_lifetime_drains_only_the_addressed_one(self) -> None:
         table = UpstreamTable()
         old, new = _record("u", started_ms=5), _record("u", started_ms=9)
         table.apply({"u": old}, 1)
@@ -191,10 +191,10 @@
 
 
 class LifetimeMachine(RuleBasedStateMachine):
-    """Words about lifetimes in any order; a model that knows the truth of the store.
+    """Records of lifetimes in any order, against a model of the store.
 
-    The store's revisions rise, its writers may be late: a lifetime's word can be stored after the
-    word of the next one. Instances take changes one by one or the list in whole, also old lists.
+    The store's revisions increase, and its writers may be late: a lifetime's record can be stored
+    after that of the next one. The table applies single changes or complete lists, also old ones.
     """
 
     def __init__(self) -> None:
@@ -229,20 +229,20 @@
         self.table.apply({name: None}, self.revision)
 
     @rule(back=st.integers(0, 5))
-    def take_list(self, back: int) -> None:
+    def replace_list(self, back: int) -> None:
         if len(self.lists) > back:
             revision, records = self.lists[-1 - back]
             self.table.replace(records, revision)
 
     @rule(name=st.sampled_from("uv"), started_ms=st.integers(1, 4))
-    def answer_for_another(self, name: str, started_ms: int) -> None:
+    def respond_for_another(self, name: str, started_ms: int) -> None:
         upstream_id = _record(name, started_ms=started_ms).id
         if upstream_id in self.table.records:
             self.ended.add(upstream_id)
         self.table.mark_gone(upstream_id)
 
     @invariant()
-    def no_ended_or_older_lifetime_takes_work(self) -> None:
+    def no_ended_or_older_lifetime_is_ready(self) -> None:
         ready = self.table.ready("s")
         assert len({record.name for record in ready}) == len(ready)
         for record in ready:
@@ -250,7 +250,7 @@
             assert record.started_ms == self.newest[record.name]
 
     @invariant()
-    def the_newest_lifetime_takes_work_where_the_store_lists_it(self) -> None:
+    def the_newest_lifetime_is_ready_if_the_store_lists_it(self) -> None:
         ready = {record.id for record in self.table.ready("s")}
         for record in self.entries.values():
             if record.started_ms == self.newest[record.name] and record.id not in self.ended:
@@ -258,14 +258,14 @@
 
 
 class LifetimeMachineTest(EgretrailTestCase):
-    def test_words_in_any_order(self) -> None:
+    def test_records_in_any_order(self) -> None:
         run_state_machine_as_test(
             LifetimeMachine, settings=settings(max_examples=150, deadline=None, derandomize=True)
         )
 
 
 class ChangesTest(EgretrailTestCase):
-    """An instance that follows another by its changes holds what one that reads all holds."""
+    """A table that applies another's changes equals the table that reads all of them."""
 
     def _record(self, name: str, started_ms: int = 0) -> UpstreamRecord:
         state = UpstreamState.READY
@@ -277,7 +277,7 @@
             "the last batch": (6, {"c": None}),
             "between two batches": (5, {"c": None}),
             "all batches": (3, {"a": None, "c": None, "d": "d"}),
-            "before the whole list": (2, None),
+            "before the complete list": (2, None),
         }
     )
     def test_changes_since(self, case: tuple[int, dict[str, str | None] | None]) -> None:
@@ -286,17 +286,17 @@
         table.replace([self._record("a"), self._record("b")], 3)
         table.apply({"a": None, "c": self._record("c"), "d": self._record("d")}, 5)
         table.apply({"c": None}, 7)
-        self.assertEqual(expected, self._told(table, revision))
+        self.assertEqual(expected, self._changes_since(table, revision))
 
     @cases(
         {
-            "a_newer_list_which_hides_what_came_and_went": (9, 8, None),
-            "a_newer_list_for_one_that_had_all_before_it": (9, 7, None),
+            "a_newer_list_which_hides_the_changes": (9, 8, None),
+            "a_newer_list_for_a_reader_of_all_earlier_changes": (9, 7, None),
             "another_list_of_the_same_revision": (7, 6, {"c": None, "d": "d"}),
-            "another_list_for_one_that_had_the_same_revision": (7, 7, {"d": "d"}),
+            "another_list_for_a_reader_of_the_same_revision": (7, 7, {"d": "d"}),
         }
     )
-    def test_what_is_told_after_a_whole_list(
+    def test_changes_after_a_complete_list(
         self, case: tuple[int, int, dict[str, str | None] | None]
     ) -> None:
         revision, known, expected = case
@@ -304,23 +304,23 @@
         table.replace([self._record("a"), self._record("c")], 6)
         table.apply({"c": None}, 7)
         table.replace([self._record("a"), self._record("d")], revision)
-        self.assertEqual(expected, self._told(table, known))
+        self.assertEqual(expected, self._changes_since(table, known))
 
-    def test_a_drop_is_told_also_after_the_same_list_was_read_again(self) -> None:
+    def test_changes_include_a_removal_after_the_same_list_was_read_again(self) -> None:
         table = UpstreamTable()
         table.replace([self._record("a"), self._record("c")], 6)
         table.drop(["c"])
         table.replace([self._record("a")], 6)
-        self.assertEqual({"c": None}, self._told(table, 6))
+        self.assertEqual({"c": None}, self._changes_since(table, 6))
 
     @cases(
         {
-            # A whole list that was read after it holds a late word of the lifetime before it.
+            # The complete list, read later, holds a late record of the previous lifetime.
             "a listed name": (["x"], True),
             "a name that is not listed any more": ([], False),
         }
     )
-    def test_a_newer_lifetime_is_taken_also_from_an_older_word(
+    def test_a_newer_lifetime_is_applied_also_from_an_older_change(
         self, case: tuple[Sequence[str], bool]
     ) -> None:
         names, expected = case
@@ -332,17 +332,17 @@
         table.apply({"x": replace(new, revision=19)}, 20)
         self.assertEqual(expected, bool(table.ready("s")))
 
-    def _told(self, table: UpstreamTable, known: int) -> dict[str, str | None] | None:
+    def _changes_since(self, table: UpstreamTable, known: int) -> dict[str, str | None] | None:
         changes = table.changes_since(known)
         if changes is None:
             return None
         return {name: record.name if record else None for name, record in changes.items()}
 
-    def test_a_follower_holds_the_same_after_any_number_of_changes(self) -> None:
+    def test_a_follower_equals_the_reader_after_any_number_of_changes(self) -> None:
         rng = random.Random(3)
         reader, follower = UpstreamTable(), UpstreamTable()
         reader.replace([self._record(f"u{n}") for n in range(30)], 1)
-        wholes = 0
+        complete_lists = 0
         for revision in range(2, 1500):
             name = f"u{rng.randrange(60)}"
             record = self._record(name, revision) if rng.random() < 0.6 else None
@@ -351,9 +351,9 @@
                 continue
             changes = reader.changes_since(follower.revision)
             if changes is None:
-                wholes += 1
+                complete_lists += 1
                 follower.replace(list(reader), reader.revision)
             else:
                 follower.apply(changes, reader.revision)
             self.assertEqual(reader.records, follower.records)
-        self.assertLess(wholes, 4)
+        self.assertLess(complete_lists, 4)
