--- a/src/egretrail/dispatch/__init__.py
+++ b/src/egretrail/dispatch/__init__.py
@@ -1,7 +1,7 @@
-"""Decides which upstream runs a request, what is refused, and what is tried again.
+"""Decides which upstream runs a request, which requests are refused, and which are retried.
 
-No module here does input or output: the time is an argument, and what other instances observed
-arrives as values.
+No module here does input or output: the time is an argument, and the observations of other
+instances are passed in as values.
 """
 
 from egretrail.dispatch._crashing_requests import CrashingRequests, RequestDigest, request_digest
--- a/src/egretrail/dispatch/_limits.py
+++ b/src/egretrail/dispatch/_limits.py
@@ -59,8 +59,8 @@
     #: Number of living instances in this zone, and in the whole fleet.
     zone_size: int
     fleet_size: int
-    #: Part of the fleet that is known to be alive; a partitioned instance counts on the same part
-    #: of a limit.
+    #: Part of the fleet that is known to be alive; a partitioned instance uses only this part of a
+    #: limit.
     known_share: float
 
     def share(self, limit_per_s: float) -> LimitShare:
