--- a/src/egretrail/cluster/__init__.py
+++ b/src/egretrail/cluster/__init__.py
@@ -1,10 +1,10 @@
-"""Who is in the fleet, and what its instances tell each other.
+"""Fleet membership, the zone hubs, and the messages that instances exchange.
 
-No module here does input or output: datagrams are values, and the time is an argument.
+No module of this package performs I/O: datagrams are values, and the time is an argument.
 """
 
-from egretrail.cluster._beat import Beat, DropReport, Finding, LimitReport, LossReport
-from egretrail.cluster._config_parts import (
+from egretrail.cluster._heartbeat import Beat, DropReport, Finding, LimitReport, LossReport
+from egretrail.cluster._config_chunks import (
     ConfigOutline,
     KnownOutlines,
     PartedConfig,
@@ -12,7 +12,7 @@
     at_once,
     part_config,
 )
-from egretrail.cluster._config_proof import ConfigProof, SectionEcho, SendTimes
+from egretrail.cluster._config_freshness import ConfigProof, SectionEcho, SendTimes
 from egretrail.cluster._datagrams import (
     BeatsDatagram,
     Datagram,
@@ -41,12 +41,12 @@
     encode_referral,
     encode_upstreams,
 )
-from egretrail.cluster._following import HUB_SILENCE_S, Following
+from egretrail.cluster._hub_election import HUB_SILENCE_S, Following
 from egretrail.cluster._hub import URGENT_OUTCOMES, Hub, HubState
 from egretrail.cluster._instance import Instance, InstanceState, short_incarnation
 from egretrail.cluster._malformed import MalformedMessage
 from egretrail.cluster._membership import BEAT_INTERVAL_S, Membership, address_part
-from egretrail.cluster._news import OwnNews
+from egretrail.cluster._outgoing_reports import OwnNews
 from egretrail.cluster._section import (
     ChangedRows,
     LoadRows,
@@ -55,7 +55,7 @@
     Scope,
     Section,
 )
-from egretrail.cluster._zone_share import ZoneShare, replace_part
+from egretrail.cluster._zone_peers import ZoneShare, replace_part
 
 __all__ = [
     "BEAT_INTERVAL_S",
--- /dev/null
+++ b/src/egretrail/cluster/_config_chunks.py
@@ -0,0 +1,272 @@
+"""Chunked configurations: a change is transferred and verified without the unchanged chunks."""
+
+from array import array
+from collections import OrderedDict
+from collections.abc import Generator, Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import TypeVar
+
+import xxhash
+
+from egretrail.cluster._config_codec import (
+    ConfigHead,
+    ChunkContents,
+    pack_head,
+    pack_chunk,
+    unpack_head,
+    unpack_chunk,
+)
+from egretrail.traffic import ClientAccount, FleetConfig, Route, Service
+
+T = TypeVar("T")
+
+#: The number of chunks of each configuration. A change of one route moves one chunk. The digests of
+#: all chunks take 2 KB, which are sent when the two peers have no configuration in common. 4,000
+#: routes make chunks of 1.6 KB.
+CHUNK_COUNT = 256
+#: Chunks that are packed before the generator yields to the event loop: some milliseconds at 4,000
+#: routes.
+_CHUNKS_PER_SLICE = 16
+#: Routes or accounts that are assigned to chunks before the generator yields to the event loop.
+_ROUTES_PER_SLICE = 500
+#: Configurations whose chunk digests are remembered, 2 KB each. They serve as bases for peers that
+#: still have one of them.
+_HISTORY_MAX = 32
+
+
+@dataclass(frozen=True, slots=True)
+class ConfigChunk:
+    """The services, routes and client accounts whose keys hash to the same chunk number."""
+
+    #: The packed form, as sent to peers.
+    packed: bytes
+    #: The digest of the packed form.
+    digest: int
+    #: The services, routes and client accounts.
+    contents: ChunkContents
+
+    @classmethod
+    def from_contents(cls, contents: ChunkContents) -> "ConfigChunk":
+        """Pack contents that are already sorted."""
+        packed = pack_chunk(contents)
+        return cls(packed, chunk_digest(packed), contents)
+
+    @classmethod
+    def unpack(cls, packed: bytes) -> "ConfigChunk":
+        """Unpack a chunk from a peer; raises one of ``MALFORMED`` for invalid bytes."""
+        return cls(packed, chunk_digest(packed), unpack_chunk(packed))
+
+
+@dataclass(frozen=True, slots=True)
+class PartedConfig:
+    """One version of the configuration with its chunks."""
+
+    #: The complete configuration.
+    config: FleetConfig
+    #: The packed version and limits of the configuration.
+    head: bytes
+    #: The chunks, one for each chunk number.
+    parts: tuple[ConfigChunk, ...]
+    #: The digest of the head and of all chunks. Instances with the same digest have the same
+    #: configuration.
+    digest: int
+
+    @classmethod
+    def from_chunks(cls, head: bytes, chunks: Sequence[ConfigChunk]) -> "PartedConfig":
+        """Build a configuration from chunks; raises one of ``MALFORMED`` for an invalid head."""
+        unpacked = unpack_head(head)
+        contents = [chunk.contents for chunk in chunks]
+        accounts = [account for one in contents for account in one.accounts]
+        config = FleetConfig(
+            version=unpacked.version,
+            routes=[route for one in contents for route in one.routes],
+            services={service.name: service for one in contents for service in one.services},
+            limits=unpacked.limits,
+            accounts=accounts if unpacked.has_accounts else None,
+        )
+        digest = config_digest(head, [chunk.digest for chunk in chunks])
+        return cls(config, head, tuple(chunks), digest)
+
+
+@dataclass(frozen=True, slots=True)
+class ConfigOutline:
+    """The digests of a configuration's chunks, from which a peer learns which chunks it lacks."""
+
+    #: The packed version and limits of the configuration.
+    head: bytes
+    #: The digest of the configuration.
+    digest: int
+    #: The digest of the base configuration; 0 for a configuration whose chunks are all empty.
+    base: int
+    #: The digests of the chunks that differ from the base, by chunk number.
+    changed: Mapping[int, int]
+
+    @property
+    def version(self) -> int:
+        """The version of the configuration; raises one of ``MALFORMED`` for an invalid head."""
+        return unpack_head(self.head).version
+
+
+def chunk_digest(packed: bytes) -> int:
+    """Return the digest of a packed chunk."""
+    return xxhash.xxh3_64_intdigest(packed)
+
+
+def config_digest(head: bytes, digests: Iterable[int]) -> int:
+    """Return the digest of a configuration from its head and the digests of its chunks."""
+    return xxhash.xxh3_64_intdigest(head + array("Q", digests).tobytes())
+
+
+EMPTY_CHUNK = ConfigChunk.from_contents(ChunkContents())
+_EMPTY_DIGESTS = array("Q", [EMPTY_CHUNK.digest] * CHUNK_COUNT)
+
+
+def part_config(
+    config: FleetConfig, before: PartedConfig | None = None
+) -> Generator[None, None, PartedConfig]:
+    """Split a configuration into chunks, in slices of work that are separated by ``yield``.
+
+    The caller may do other work at each ``yield``. Splitting 4,000 routes in one go blocks the
+    event loop of a weak instance for a tenth of a second, and peers then take a hub as failed.
+    Chunks that are equal to those of ``before`` are not packed again.
+    """
+    services: list[list[Service]] = [[] for _ in range(CHUNK_COUNT)]
+    routes: list[list[Route]] = [[] for _ in range(CHUNK_COUNT)]
+    accounts: list[list[ClientAccount]] = [[] for _ in range(CHUNK_COUNT)]
+    for service in config.services.values():
+        services[_chunk_number(service.name)].append(service)
+    for position, route in enumerate(config.routes):
+        routes[_chunk_number(f"{route.host} {route.prefix}")].append(route)
+        if position % _ROUTES_PER_SLICE == _ROUTES_PER_SLICE - 1:
+            yield
+    for position, account in enumerate(config.accounts or ()):
+        accounts[_chunk_number(f"account {account.name}")].append(account)
+        if position % _ROUTES_PER_SLICE == _ROUTES_PER_SLICE - 1:
+            yield
+    chunks = []
+    for number in range(CHUNK_COUNT):
+        if number % _CHUNKS_PER_SLICE == _CHUNKS_PER_SLICE - 1:
+            yield
+        previous = before.parts[number] if before is not None else EMPTY_CHUNK
+        chunks.append(_make_chunk(services[number], routes[number], accounts[number], previous))
+    yield
+    head = ConfigHead(config.version, config.limits, config.accounts is not None)
+    return PartedConfig.from_chunks(pack_head(head), chunks)
+
+
+def at_once(work: Generator[None, None, T]) -> T:
+    """Run a generator to its end without yielding to other work, and return its result."""
+    while True:
+        try:
+            next(work)
+        except StopIteration as done:
+            result: T = done.value
+            return result
+
+
+@dataclass(slots=True)
+class KnownOutlines:
+    """The chunk digests of an instance's recent configurations, by the configuration's digest."""
+
+    _digests: OrderedDict[int, "array[int]"] = field(default_factory=OrderedDict)
+
+    def remember(self, chunked_config: PartedConfig) -> None:
+        """Record a configuration. Peers may still have it when it is no longer in force here."""
+        digests = array("Q", [chunk.digest for chunk in chunked_config.parts])
+        self._digests[chunked_config.digest] = digests
+        while len(self._digests) > _HISTORY_MAX:
+            self._digests.popitem(last=False)
+
+    def outline(self, chunked_config: PartedConfig, base: int) -> ConfigOutline:
+        """Return the manifest relative to the configuration with the digest ``base``."""
+        known = self._digests.get(base)
+        base_digests = _EMPTY_DIGESTS if known is None else known
+        changed = {
+            number: chunk.digest
+            for number, chunk in enumerate(chunked_config.parts)
+            if chunk.digest != base_digests[number]
+        }
+        base_digest = 0 if known is None else base
+        return ConfigOutline(chunked_config.head, chunked_config.digest, base_digest, changed)
+
+
+@dataclass(slots=True)
+class PartsCollection:
+    """Received chunks of newer configurations, until one configuration is complete.
+
+    Versions may follow each other faster than a weak link can transfer one. Received chunks are
+    kept by their digest, whichever version and peer they came from, so that each attempt continues
+    where the previous one ended.
+    """
+
+    _received: dict[int, ConfigChunk] = field(default_factory=dict)
+
+    def add(self, chunk: ConfigChunk) -> None:
+        """Add a received chunk."""
+        self._received[chunk.digest] = chunk
+
+    def lacking(self, manifest: ConfigOutline, own: PartedConfig | None) -> Mapping[int, int]:
+        """Return the digests of the chunks that a configuration still lacks, by chunk number."""
+        digests = _digests_of(manifest, own)
+        return {
+            number: digest
+            for number, digest in manifest.changed.items()
+            if self._find_chunk(number, digests[number], own) is None
+        }
+
+    def join(self, manifest: ConfigOutline, own: PartedConfig | None) -> PartedConfig | None:
+        """Return the complete, verified configuration; None when a chunk is missing or wrong."""
+        chunks = []
+        for number, digest in enumerate(_digests_of(manifest, own)):
+            chunk = self._find_chunk(number, digest, own)
+            if chunk is None:
+                return None
+            chunks.append(chunk)
+        assembled = PartedConfig.from_chunks(manifest.head, chunks)
+        return assembled if assembled.digest == manifest.digest else None
+
+    def keep_only(self, manifest: ConfigOutline) -> None:
+        """Discard the chunks that a manifest does not name: their versions were superseded."""
+        referenced = set(manifest.changed.values())
+        for digest in [one for one in self._received if one not in referenced]:
+            del self._received[digest]
+
+    def clear(self) -> None:
+        """Discard all chunks: a configuration was assembled."""
+        self._received.clear()
+
+    def _find_chunk(self, number: int, digest: int, own: PartedConfig | None) -> ConfigChunk | None:
+        if digest == EMPTY_CHUNK.digest:
+            return EMPTY_CHUNK
+        if own is not None and own.parts[number].digest == digest:
+            return own.parts[number]
+        return self._received.get(digest)
+
+
+def _digests_of(manifest: ConfigOutline, own: PartedConfig | None) -> Sequence[int]:
+    """Return the digests of all chunks of a manifest's configuration, by chunk number."""
+    base_digests: Sequence[int] = _EMPTY_DIGESTS
+    if manifest.base and own is not None and own.digest == manifest.base:
+        base_digests = [chunk.digest for chunk in own.parts]
+    digests = list(base_digests)
+    for number, digest in manifest.changed.items():
+        digests[number] = digest
+    return digests
+
+
+def _make_chunk(
+    services: list[Service],
+    routes: list[Route],
+    accounts: list[ClientAccount],
+    previous: ConfigChunk,
+) -> ConfigChunk:
+    contents = ChunkContents(
+        tuple(sorted(services, key=lambda one: one.name)),
+        tuple(sorted(routes, key=lambda one: (one.host, one.prefix))),
+        tuple(sorted(accounts, key=lambda one: one.name)),
+    )
+    return previous if contents == previous.contents else ConfigChunk.from_contents(contents)
+
+
+def _chunk_number(key: str) -> int:
+    return xxhash.xxh32_intdigest(key.encode(errors="surrogatepass")) % CHUNK_COUNT
--- a/src/egretrail/cluster/_config_rows.py
+++ b/src/egretrail/cluster/_config_codec.py
@@ -16,36 +16,37 @@
     WeightedService,
 )
 
-#: Places in this list are told in place of the kinds; new kinds go to its end.
+#: The index in this list is the route kind's value on the wire; new kinds are appended.
 _KINDS = (RouteKind.IDEMPOTENT, RouteKind.AT_MOST_ONCE)
 
 
 @dataclass(frozen=True, slots=True)
-class PartContents:
-    """The services, routes and accounts of one part, each in order."""
+class ChunkContents:
+    """The services, routes and client accounts of one chunk, each sorted."""
 
-    #: The services, by name.
+    #: The services, sorted by name.
     services: tuple[Service, ...] = ()
-    #: The routes, by host and prefix.
+    #: The routes, sorted by host and prefix.
     routes: tuple[Route, ...] = ()
-    #: The client accounts, by name.
+    #: The client accounts, sorted by name.
     accounts: tuple[ClientAccount, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigHead:
-    """What a configuration has once."""
+    """The settings of a configuration that are not divided among chunks."""
 
-    #: Its version.
+    #: The version of the configuration.
     version: int
     #: The limits for clients.
     limits: ClientLimits
-    #: Whether it names client accounts, be it none, so that requests need an API key.
+    #: Whether the configuration has a list of client accounts, even an empty one: requests then
+    #: need an API key.
     has_accounts: bool
 
 
-def pack_part(contents: PartContents) -> bytes:
-    """Return the bytes of a part; equal contents have equal bytes."""
+def pack_chunk(contents: ChunkContents) -> bytes:
+    """Return the packed form of a chunk; equal contents have equal bytes."""
     document = [
         [[one.name, one.health_path, one.max_connections] for one in contents.services],
         [_route_row(route) for route in contents.routes],
@@ -55,14 +56,14 @@
     return packed
 
 
-def unpack_part(packed: bytes) -> PartContents:
-    """Return the contents of some bytes; raises one of ``MALFORMED`` for others."""
+def unpack_chunk(packed: bytes) -> ChunkContents:
+    """Return the contents of a packed chunk; raises one of ``MALFORMED`` for invalid bytes."""
     service_rows, route_rows, account_rows = msgpack.unpackb(packed)
     services = tuple(
         Service(sys.intern(name), str(health_path), int(max_connections))
         for name, health_path, max_connections in service_rows
     )
-    return PartContents(
+    return ChunkContents(
         services,
         tuple(_route(row) for row in route_rows),
         tuple(_account(row) for row in account_rows),
@@ -70,13 +71,13 @@
 
 
 def pack_head(head: ConfigHead) -> bytes:
-    """Return the bytes of what a configuration has once."""
+    """Return the packed form of a head."""
     packed: bytes = msgpack.packb([head.version, head.has_accounts, *astuple(head.limits)])
     return packed
 
 
 def unpack_head(packed: bytes) -> ConfigHead:
-    """Return what some bytes hold; raises one of ``MALFORMED`` for others."""
+    """Return a head from its packed form; raises one of ``MALFORMED`` for invalid bytes."""
     version, has_accounts, *limits = msgpack.unpackb(packed)
     header_bytes, body_bytes, header_timeout_s, idle_timeout_s = limits
     return ConfigHead(
@@ -106,10 +107,10 @@
 def _route(row: Sequence[Any]) -> Route:
     name, host, prefix, kind, timeout_s, objective_s, priority, max_attempts, parts, public = row
     if not parts:
-        raise ValueError(f"route {name!r} goes to no service")
+        raise ValueError(f"route {name!r} has no destination service")
     return Route(
         name=str(name),
-        # Thousands of routes share a few hosts and services.
+        # Interned, since thousands of routes share a few hosts and services.
         host=sys.intern(host),
         prefix=str(prefix),
         kind=_KINDS[kind],
--- a/src/egretrail/cluster/_fetch_codec.py
+++ b/src/egretrail/cluster/_fetch_codec.py
@@ -1,4 +1,4 @@
-"""The msgpack form of the exchange that fetches state from a peer."""
+"""The msgpack form of the messages that fetch state from a peer."""
 
 import zlib
 from collections.abc import Mapping, Sequence
@@ -8,85 +8,90 @@
 import msgpack
 from result import Err, Ok, Result
 
-from egretrail.cluster._config_parts import PART_COUNT, ConfigOutline, ConfigPart
+from egretrail.cluster._config_chunks import CHUNK_COUNT, ConfigOutline, ConfigChunk
 from egretrail.cluster._malformed import MALFORMED, MalformedMessage
 from egretrail.dispatch import DoubtRecord
 from egretrail.traffic import UpstreamRecord, UpstreamState
 
-#: Raised when the form changes; messages of another version are refused.
+#: The version of the wire format, incremented with each change of it; messages of other versions
+#: are rejected.
 _VERSION = 6
-#: Parts of a reply are packed to this size before compression, so that a reply takes a weak link
-#: a few milliseconds and one after the other goes to many that ask.
-_PARTS_REPLY_BYTES = 65_536
-#: What a reply of parts may unpack to; one part alone may be larger than a reply.
-_PARTS_BYTES_MAX = 16 * 1024 * 1024
-#: Routes of one customer are alike: the fastest level makes a fifth of them.
+#: The size of a reply of chunks before compression. A weak link then transfers a reply in a few
+#: milliseconds, so that replies to many requesters are sent in turn.
+_CHUNKS_REPLY_BYTES = 65_536
+#: The maximum decompressed size of a reply of chunks; a single chunk may exceed the reply size
+#: above.
+_CHUNKS_BYTES_MAX = 16 * 1024 * 1024
+#: Routes of one customer are similar: the fastest level compresses them to a fifth.
 _COMPRESSION_LEVEL = 1
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamsQuestion:
-    """Asks a peer for the upstreams that changed after a revision."""
+    """Requests the upstreams that changed after a revision."""
 
-    #: The asker's revision of the upstreams; 0 to be told all.
+    #: The requester's revision of the upstreams; 0 to request all upstreams.
     revision: int
-    #: Whether to tell the doubts about upstreams too, to an asker that has just started.
+    #: Whether to include the suspicions about upstreams, for a requester that has just started.
     with_doubts: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamsReply:
-    """A peer's upstreams, where it knows a newer revision."""
+    """A peer's upstreams, if it has a newer revision."""
 
     #: The peer's revision.
     revision: int
-    #: All listed upstreams; None where the asker's revision is not older, or changes are told.
+    #: All listed upstreams; None when the requester's revision is not older or when ``changes`` is
+    #: set.
     upstreams: Sequence[UpstreamRecord] | None
-    #: The doubts about upstreams, where they were asked for.
+    #: The suspicions about upstreams, if they were requested.
     doubts: Sequence[DoubtRecord] = ()
-    #: What changed since the asker's revision, by name; None for an upstream that is not listed.
+    #: The upstreams that changed since the requester's revision, by name; None for an upstream that
+    #: is no longer listed.
     changes: Mapping[str, UpstreamRecord | None] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class OutlineQuestion:
-    """Asks a peer what its configuration consists of."""
+    """Requests the manifest of a peer's configuration."""
 
-    #: The digest of the asker's configuration; 0 for none.
+    #: The digest of the requester's configuration; 0 for none.
     base: int
-    #: The asker's address: others may be told to ask it once it has all.
+    #: The requester's address: once it has the complete configuration, others may be referred to
+    #: it.
     asker: str = ""
-    #: Whether the asker is a hub, whose zone waits for it.
+    #: Whether the requester is a hub, for which the instances of its zone wait.
     is_hub: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Referral:
-    """Tells an asker to ask another instance, since many ask this one."""
+    """Refers a requester to another instance, since many instances fetch from this one."""
 
-    #: Its address; empty for the same one again.
+    #: The address of the other instance; empty to request again from the same instance.
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class PartsQuestion:
-    """Asks a peer for parts of its configuration."""
+    """Requests chunks of a peer's configuration."""
 
-    #: The digests of the wanted parts, by number.
+    #: The digests of the requested chunks, by chunk number.
     wanted: Mapping[int, int]
 
 
 Question = UpstreamsQuestion | OutlineQuestion | PartsQuestion
 
 
-def encode_question(question: Question) -> bytes:
-    """Return the form of a question."""
+def encode_question(message: Question) -> bytes:
+    """Return the packed form of a fetch message."""
     document: list[Any]
-    match question:
-        case UpstreamsQuestion(revision, with_doubts):
-            document = [_VERSION, 0, revision, with_doubts]
-        case OutlineQuestion(base, asker, is_hub):
-            document = [_VERSION, 1, base, asker, is_hub]
+    match message:
+        case UpstreamsQuestion(revision, with_suspicions):
+            document = [_VERSION, 0, revision, with_suspicions]
+        case OutlineQuestion(base_digest, requester, is_hub):
+            document = [_VERSION, 1, base_digest, requester, is_hub]
         case PartsQuestion(wanted):
             document = [_VERSION, 2, dict(wanted)]
     packed: bytes = msgpack.packb(document)
@@ -94,85 +99,85 @@
 
 
 def decode_question(data: bytes) -> Result[Question, MalformedMessage]:
-    """Read a question."""
+    """Decode a fetch message."""
     try:
         version, kind, *rest = msgpack.unpackb(data, strict_map_key=False)
         if version != _VERSION:
-            return Err(MalformedMessage(f"version {version!r}"))
+            return Err(MalformedMessage(f"unsupported version {version!r}"))
         match kind, rest:
-            case 0, [revision, with_doubts]:
-                return Ok(UpstreamsQuestion(int(revision), bool(with_doubts)))
-            case 1, [base, asker, is_hub]:
-                return Ok(OutlineQuestion(int(base), str(asker), bool(is_hub)))
+            case 0, [revision, with_suspicions]:
+                return Ok(UpstreamsQuestion(int(revision), bool(with_suspicions)))
+            case 1, [base_digest, requester, is_hub]:
+                return Ok(OutlineQuestion(int(base_digest), str(requester), bool(is_hub)))
             case 2, [wanted]:
-                return Ok(PartsQuestion(_digests(wanted)))
+                return Ok(PartsQuestion(_decode_digests(wanted)))
             case _:
-                return Err(MalformedMessage(f"kind {kind!r}"))
+                return Err(MalformedMessage(f"unknown message kind {kind!r}"))
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
 
-def encode_outline(outline: ConfigOutline) -> bytes:
-    """Return the form of an outline."""
-    document = [_VERSION, outline.head, outline.digest, outline.base, dict(outline.changed)]
+def encode_outline(manifest: ConfigOutline) -> bytes:
+    """Return the packed form of a manifest."""
+    document = [_VERSION, manifest.head, manifest.digest, manifest.base, dict(manifest.changed)]
     packed: bytes = msgpack.packb(document)
     return packed
 
 
 def encode_referral(referral: Referral) -> bytes:
-    """Return the form of a referral, which comes in place of an outline."""
+    """Return the packed form of a referral, which is sent instead of a manifest."""
     packed: bytes = msgpack.packb([_VERSION, referral.address])
     return packed
 
 
 def decode_outline(data: bytes) -> Result[ConfigOutline | Referral, MalformedMessage]:
-    """Read an outline, or what comes in its place."""
+    """Decode a manifest, or the referral that was sent instead."""
     try:
         version, *rest = msgpack.unpackb(data, strict_map_key=False)
         if version != _VERSION:
-            return Err(MalformedMessage(f"version {version!r}"))
+            return Err(MalformedMessage(f"unsupported version {version!r}"))
         if len(rest) == 1:
             return Ok(Referral(str(rest[0])))
-        head, digest, base, changed = rest
-        return Ok(ConfigOutline(bytes(head), int(digest), int(base), _digests(changed)))
+        head, digest, base_digest, changed = rest
+        return Ok(ConfigOutline(bytes(head), int(digest), int(base_digest), _decode_digests(changed)))
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
 
-def encode_parts(parts: Sequence[ConfigPart]) -> bytes:
-    """Return the form of some parts, from the first on as many as a reply takes."""
-    told: list[bytes] = []
+def encode_parts(chunks: Sequence[ConfigChunk]) -> bytes:
+    """Return the packed form of as many chunks as fit into a reply, starting with the first."""
+    packed_chunks: list[bytes] = []
     size_bytes = 0
-    for part in parts:
-        if told and size_bytes + len(part.packed) > _PARTS_REPLY_BYTES:
+    for chunk in chunks:
+        if packed_chunks and size_bytes + len(chunk.packed) > _CHUNKS_REPLY_BYTES:
             break
-        told.append(part.packed)
-        size_bytes += len(part.packed)
-    return zlib.compress(msgpack.packb([_VERSION, told]), _COMPRESSION_LEVEL)
+        packed_chunks.append(chunk.packed)
+        size_bytes += len(chunk.packed)
+    return zlib.compress(msgpack.packb([_VERSION, packed_chunks]), _COMPRESSION_LEVEL)
 
 
-def decode_parts(data: bytes) -> Result[Sequence[ConfigPart], MalformedMessage]:
-    """Read parts."""
+def decode_parts(data: bytes) -> Result[Sequence[ConfigChunk], MalformedMessage]:
+    """Decode chunks."""
     try:
-        inflating = zlib.decompressobj()
-        unpacked = inflating.decompress(data, _PARTS_BYTES_MAX)
-        if inflating.unconsumed_tail:
-            return Err(MalformedMessage(f"parts of more than {_PARTS_BYTES_MAX} bytes"))
-        version, told = msgpack.unpackb(unpacked)
+        decompressor = zlib.decompressobj()
+        unpacked = decompressor.decompress(data, _CHUNKS_BYTES_MAX)
+        if decompressor.unconsumed_tail:
+            return Err(MalformedMessage(f"decompressed chunks exceed {_CHUNKS_BYTES_MAX} bytes"))
+        version, packed_chunks = msgpack.unpackb(unpacked)
         if version != _VERSION:
-            return Err(MalformedMessage(f"version {version!r}"))
-        return Ok([ConfigPart.read(packed) for packed in told])
+            return Err(MalformedMessage(f"unsupported version {version!r}"))
+        return Ok([ConfigChunk.unpack(packed) for packed in packed_chunks])
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
 
 def encode_upstreams(reply: UpstreamsReply) -> bytes:
-    """Return the form of upstreams."""
+    """Return the packed form of upstreams."""
     rows = None
     if reply.upstreams is not None:
         rows = [_upstream_row(record) for record in reply.upstreams]
-    doubts = [
-        [doubt.upstream_id, doubt.age_s, doubt.pause_s, doubt.successes] for doubt in reply.doubts
+    suspicions = [
+        [suspicion.upstream_id, suspicion.age_s, suspicion.pause_s, suspicion.successes] for suspicion in reply.doubts
     ]
     changes = None
     if reply.changes is not None:
@@ -180,37 +185,37 @@
             name: None if record is None else _upstream_row(record)
             for name, record in reply.changes.items()
         }
-    packed: bytes = msgpack.packb([_VERSION, reply.revision, rows, changes, doubts])
+    packed: bytes = msgpack.packb([_VERSION, reply.revision, rows, changes, suspicions])
     return packed
 
 
 def decode_upstreams(data: bytes) -> Result[UpstreamsReply, MalformedMessage]:
-    """Read upstreams."""
+    """Decode upstreams."""
     try:
-        version, revision, rows, changed, doubts = msgpack.unpackb(data)
+        version, revision, rows, changed, suspicion_rows = msgpack.unpackb(data)
         if version != _VERSION:
-            return Err(MalformedMessage(f"version {version!r}"))
-        upstreams = None if rows is None else [_upstream(row) for row in rows]
-        told = [
+            return Err(MalformedMessage(f"unsupported version {version!r}"))
+        upstreams = None if rows is None else [_decode_upstream(row) for row in rows]
+        suspicions = [
             DoubtRecord(str(name), float(age_s), float(pause_s), int(successes))
-            for name, age_s, pause_s, successes in doubts
+            for name, age_s, pause_s, successes in suspicion_rows
         ]
         changes = None
         if changed is not None:
             changes = {
-                str(name): None if row is None else _upstream(row) for name, row in changed.items()
+                str(name): None if row is None else _decode_upstream(row) for name, row in changed.items()
             }
-        return Ok(UpstreamsReply(int(revision), upstreams, told, changes))
+        return Ok(UpstreamsReply(int(revision), upstreams, suspicions, changes))
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
 
-def _digests(table: Mapping[Any, Any]) -> Mapping[int, int]:
+def _decode_digests(table: Mapping[Any, Any]) -> Mapping[int, int]:
     digests = {int(number): int(digest) for number, digest in table.items()}
-    if any(not 0 <= number < PART_COUNT for number in digests):
-        raise ValueError("a part beyond all parts")
+    if any(not 0 <= number < CHUNK_COUNT for number in digests):
+        raise ValueError("chunk number out of range")
     if any(not 0 <= digest < 2**64 for digest in digests.values()):
-        raise ValueError("a digest beyond all digests")
+        raise ValueError("chunk digest does not fit into 64 bits")
     return digests
 
 
@@ -228,7 +233,7 @@
     ]
 
 
-def _upstream(row: Sequence[Any]) -> UpstreamRecord:
+def _decode_upstream(row: Sequence[Any]) -> UpstreamRecord:
     name, service, address, zone, slots, state, warmup_s, revision, started_ms = row
     return UpstreamRecord(
         name=str(name),
--- /dev/null
+++ b/src/egretrail/cluster/_hub_election.py
@@ -0,0 +1,114 @@
+"""Hub election: the hub that an instance follows, and whether the instance is the hub itself."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+#: A hub sends ten sections a second. After this time without a section it is taken as failed or
+#: partitioned from this instance.
+HUB_SILENCE_S = 0.35
+#: The additional time that each further instance of the hub order waits for its predecessors to
+#: take over.
+_SUCCESSION_DELAY_S = 0.3
+_SUCCESSION_STEPS_MAX = 5
+#: Without an acknowledgement of heartbeats for this time, the network path to the hub is taken as
+#: broken.
+_ACK_TIMEOUT_S = 0.6
+#: The number of instances that receive a heartbeat while no working network path is known: each
+#: relays it.
+_FALLBACK_TARGETS = 3
+#: Heartbeats that reach the hub through a relay are also sent to it directly at this interval.
+_DIRECT_INTERVAL_S = 1.0
+#: The hub of a zone exchanges messages directly with this many instances. Further instances are
+#: reached through relays, each for as many instances. This bounds the messages that one instance
+#: sends in a zone of any size.
+_GROUP_SIZE = 80
+
+
+@dataclass(slots=True)
+class Following:
+    """Tracks the followed hub, the network path to it, and whether this instance is the hub.
+
+    Hubs are killed or paused, lose one direction of their network, or are behind a saturated link.
+    Zones start with instances that know a few of the others. No step needs consensus. Two instances
+    may act as hubs at a time, each with the aggregates of a part of the zone, until the one that is
+    later in the hub order receives sections of the other.
+    """
+
+    #: The address of this instance.
+    own_address: str
+    #: When this instance started.
+    since_s: float
+    #: The followed hub; None before the first one.
+    hub: str | None = None
+    #: When a section of the followed hub was last received.
+    heard_s: float = float("-inf")
+    #: The instance to which heartbeats are sent; None while no working network path is known.
+    way: str | None = None
+    #: When the newest heartbeat that the hub acknowledged was sent, or when the hub was first
+    #: followed if that is later.
+    acknowledged_s: float = float("-inf")
+    _direct_s: float = field(default=float("-inf"))
+
+    def accepts(self, hub: str, order: Sequence[str], now_s: float) -> bool:
+        """Return whether to apply a hub's sections.
+
+        Sections of another hub than the followed one are applied if that hub is earlier in the
+        order, or if the followed hub has timed out.
+        """
+        if self.hub is None or hub == self.hub or now_s - self.heard_s > HUB_SILENCE_S:
+            return True
+        return _rank(hub, order) < _rank(self.hub, order)
+
+    def heard(self, hub: str, sender: str, order: Sequence[str], now_s: float) -> None:
+        """Record that a section of an accepted hub was received from ``sender``."""
+        if hub != self.hub:
+            self.hub = hub
+            self.way = None
+            self.acknowledged_s = now_s
+        self.heard_s = now_s
+        if self.way is None or sender == self._preferred_next_hop(order):
+            self.way = sender
+
+    def acknowledged(self, sent_s: float) -> None:
+        """Record that the hub acknowledged the heartbeat that was sent at ``sent_s``."""
+        self.acknowledged_s = max(self.acknowledged_s, sent_s)
+
+    def acts(self, order: Sequence[str], now_s: float) -> bool:
+        """Return whether this instance is the hub of its zone now."""
+        if self.own_address not in order:
+            return False
+        rank = order.index(self.own_address)
+        if rank == 0:
+            return True
+        follows_predecessor = self.hub is not None and _rank(self.hub, order) < rank
+        silence_s = now_s - max(self.heard_s if follows_predecessor else self.since_s, self.since_s)
+        return silence_s > HUB_SILENCE_S + _SUCCESSION_DELAY_S * min(rank - 1, _SUCCESSION_STEPS_MAX)
+
+    def targets(self, order: Sequence[str], now_s: float) -> Sequence[str]:
+        """Return the instances to which the next heartbeat is sent."""
+        others = [address for address in order if address != self.own_address]
+        healthy = (
+            self.way is not None
+            and now_s - self.heard_s <= HUB_SILENCE_S
+            and now_s - self.acknowledged_s <= _ACK_TIMEOUT_S
+        )
+        if not healthy or self.way is None:
+            self.way = None
+            return others[:_FALLBACK_TARGETS]
+        preferred = self._preferred_next_hop(order)
+        if self.way == preferred or now_s - self._direct_s < _DIRECT_INTERVAL_S:
+            return [self.way]
+        self._direct_s = now_s
+        return [self.way, preferred]
+
+    def _preferred_next_hop(self, order: Sequence[str]) -> str:
+        """Return the next hop to the hub while all network paths work."""
+        groups = -(-len(order) // _GROUP_SIZE)
+        if groups <= 1 or self.own_address not in order:
+            return order[0] if order else self.own_address
+        rank = order.index(self.own_address)
+        return order[0] if rank <= groups else order[1 + rank % groups]
+
+
+def _rank(address: str, order: Sequence[str]) -> int:
+    return order.index(address) if address in order else len(order)
--- a/src/egretrail/cluster/_instance.py
+++ b/src/egretrail/cluster/_instance.py
@@ -1,40 +1,40 @@
-"""What every instance knows of another one."""
+"""The description of an instance that all instances share."""
 
 import enum
 from dataclasses import dataclass
 
-#: Incarnations are told as numbers of 32 bits: milliseconds that begin anew after 49 days, far
-#: longer than two lifetimes of an instance are compared.
+#: Mask of the 32 bits that incarnations have on the wire. They are milliseconds, which wrap around
+#: after 49 days: far longer than the interval over which incarnations of an instance are compared.
 _INCARNATION_BITS = 0xFFFFFFFF
 
 
 class InstanceState(enum.IntEnum):
-    """Whether callers may be sent to an instance."""
+    """Whether callers may be directed to an instance."""
 
-    #: It does not know the configuration yet.
+    #: The instance does not have a configuration yet.
     STARTING = 0
-    #: It serves.
+    #: The instance serves requests.
     READY = 1
-    #: It was told to stop; it serves those who still come.
+    #: The instance is stopping; it still serves the requests that arrive.
     LEAVING = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One lifetime of an instance, as others list it."""
+    """One incarnation of an instance, as listed in rosters."""
 
-    #: Its address.
+    #: The address of the instance.
     address: str
-    #: Its availability zone.
+    #: The availability zone of the instance.
     availability_zone: str
-    #: Rises with each start of its process.
+    #: Increases with each start of the process; in the form of ``short_incarnation``.
     incarnation: int
-    #: Whether callers may be sent to it.
+    #: Whether callers may be directed to the instance.
     state: InstanceState
-    #: Its share of a core times the core's speed.
+    #: The instance's share of a CPU core multiplied by the speed of the core.
     capacity: float
 
 
 def short_incarnation(incarnation: int) -> int:
-    """Return the form in which lists of instances hold an incarnation."""
+    """Return an incarnation in the 32-bit form that rosters hold."""
     return incarnation & _INCARNATION_BITS
--- a/src/egretrail/cluster/_malformed.py
+++ b/src/egretrail/cluster/_malformed.py
@@ -1,4 +1,4 @@
-"""Messages of peers that cannot be read."""
+"""Messages of peers that cannot be decoded."""
 
 import struct
 import zlib
@@ -6,7 +6,8 @@
 
 import msgpack
 
-#: What reading foreign bytes raises; rows that are too short or tables that are none among it.
+#: The exceptions that decoding invalid bytes may raise, for example for rows that are too short or
+#: values that are not tables.
 MALFORMED = (
     ValueError,
     TypeError,
@@ -21,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedMessage:
-    """Bytes that are no message of this version; they are dropped."""
+    """Bytes that are not a valid message of this protocol version; they are discarded."""
 
-    #: What is wrong.
+    #: The reason why decoding failed.
     cause: str
 
     def __str__(self) -> str:
--- /dev/null
+++ b/src/egretrail/cluster/_outgoing_reports.py
@@ -0,0 +1,89 @@
+"""The recent observations of an instance that it is about to send to the others."""
+
+from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
+
+#: Outcome reports and losses are repeated in all heartbeats of this time, so that they survive a
+#: lost datagram: the next heartbeat follows within 0.25 s.
+_REPORT_SEND_S = 0.3
+#: Dropped upstreams are sent for longer, since an instance that misses the report keeps sending
+#: requests to them.
+_DROP_SEND_S = 3.0
+#: Limits of upstreams are sent for this long; the hub sends them for longer.
+_LIMIT_SEND_S = 1.0
+#: Maximum outcome reports, and maximum successes, in one heartbeat: about 10 bytes each, so that a
+#: heartbeat fits into one packet.
+_HEARTBEAT_REPORTS_MAX = 40
+
+
+@dataclass(slots=True)
+class OwnNews:
+    """The queued reports of one instance; outcome reports are numbered."""
+
+    _outcomes: deque[tuple[float, Finding]] = field(default_factory=deque)
+    _losses: deque[tuple[float, LossReport]] = field(default_factory=deque)
+    _dropped: deque[tuple[float, DropReport]] = field(default_factory=deque)
+    _limits: dict[int, tuple[float, float | None]] = field(default_factory=dict)
+    _successes: list[Finding] = field(default_factory=list)
+    #: The number of the oldest outcome report that is still sent.
+    first_finding: int = 0
+
+    def found(self, report: Finding, now_s: float) -> None:
+        """Queue an outcome report that bears on the health of an upstream."""
+        self._outcomes.append((now_s, report))
+
+    def succeeded(self, report: Finding) -> None:
+        """Queue a success of an upstream in good health, which is sent once."""
+        if len(self._successes) < _HEARTBEAT_REPORTS_MAX:
+            self._successes.append(report)
+
+    def lost(self, report: LossReport, now_s: float) -> None:
+        """Queue the report of a request that was lost with the connection to its upstream."""
+        self._losses.append((now_s, report))
+
+    def dropped(self, reports: Sequence[DropReport], now_s: float) -> None:
+        """Queue reports of upstreams that this instance dropped."""
+        self._dropped.extend((now_s, report) for report in reports)
+
+    def limited(self, upstream_key: int, limit_per_s: float | None, now_s: float) -> None:
+        """Queue the limit that an upstream has just advertised, or None if it withdrew its limit."""
+        self._limits[upstream_key] = (now_s, limit_per_s)
+
+    def forget_old(self, now_s: float) -> None:
+        """Discard the reports that were sent for long enough."""
+        while self._outcomes and self._outcomes[0][0] < now_s - _REPORT_SEND_S:
+            self._outcomes.popleft()
+            self.first_finding += 1
+        while self._losses and self._losses[0][0] < now_s - _REPORT_SEND_S:
+            self._losses.popleft()
+        while self._dropped and self._dropped[0][0] < now_s - _DROP_SEND_S:
+            self._dropped.popleft()
+        for key in [one for one, (at_s, _) in self._limits.items() if at_s < now_s - _LIMIT_SEND_S]:
+            del self._limits[key]
+
+    def findings(self) -> Sequence[Finding]:
+        """Return the outcome reports to send, oldest first."""
+        return [report for _, report in self._outcomes][:_HEARTBEAT_REPORTS_MAX]
+
+    def losses(self) -> Sequence[LossReport]:
+        """Return the losses to send."""
+        return [report for _, report in self._losses][:_HEARTBEAT_REPORTS_MAX]
+
+    def drops(self) -> Sequence[DropReport]:
+        """Return the reports of dropped upstreams to send."""
+        return [report for _, report in self._dropped][:_HEARTBEAT_REPORTS_MAX]
+
+    def limits(self, now_s: float) -> Sequence[LimitReport]:
+        """Return the limits to send."""
+        return [
+            LimitReport(key, limit_per_s, now_s - at_s)
+            for key, (at_s, limit_per_s) in list(self._limits.items())[:_HEARTBEAT_REPORTS_MAX]
+        ]
+
+    def take_successes(self) -> Sequence[Finding]:
+        """Remove and return the successes since the previous heartbeat."""
+        drained, self._successes = self._successes, []
+        return drained
--- a/src/egretrail/cluster/_section.py
+++ b/src/egretrail/cluster/_section.py
@@ -1,32 +1,33 @@
-"""What the hub of a zone tells: sums over its zone in place of each instance's own words.
+"""The section, the periodic summary message of a zone's hub.
 
-Placing needs how many requests are under way at each upstream and not whose they are, so what an
-instance receives grows with upstreams and failures and not with instances. Rows are parallel
-sequences of numbers: they are decoded at once, without an object for each.
+A section contains aggregates of the zone instead of the reports of each instance. Load balancing
+needs the number of requests in flight at each upstream, and not their senders. The data that an
+instance receives therefore grows with the upstreams and failures, and not with the instances. Rows
+are parallel sequences of numbers, which are decoded in bulk without an object for each row.
 """
 
 import enum
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from egretrail.cluster._beat import DropReport, Finding, LimitReport, LossReport
-from egretrail.cluster._config_proof import SectionEcho
+from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
+from egretrail.cluster._config_freshness import SectionEcho
 from egretrail.cluster._instance import Instance
 from egretrail.dispatch import AccountReport, RepeatCounts
 
 
 class Scope(enum.IntEnum):
-    """For whom a section is made."""
+    """The receivers of a section."""
 
-    #: For the instances of the hub's own zone: changes since the last one, each tenth of a second.
+    #: The instances of the hub's own zone: changes since the previous section, ten times a second.
     ZONE = 0
-    #: For the hubs of the other zones, who tell it in theirs: whole sums, twice a second.
+    #: The hubs of the other zones, who send it to their zones: complete aggregates, twice a second.
     ACROSS = 1
 
 
 @dataclass(frozen=True, slots=True)
 class LoadRows:
-    """Requests under way by upstream."""
+    """Requests in flight by upstream."""
 
     #: The keys of upstreams.
     keys: Sequence[int] = ()
@@ -36,61 +37,65 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSlice:
-    """All upstreams of a part of the keys that have requests; the others of that part have none.
+    """The loads of a slice of the upstream keys; other upstreams of the slice have no requests.
 
-    It heals what a lost datagram left wrong.
+    A slice repairs the loads that are wrong because of a lost datagram.
     """
 
-    #: Which part: the keys whose remainder by ``of`` it is.
+    #: The index of the slice: it holds the keys whose remainder modulo the number of slices is
+    #: this.
     number: int
-    #: The number of parts.
+    #: The number of slices.
     of: int
-    #: The upstreams of the part that have requests.
+    #: The upstreams of the slice that have requests in flight.
     rows: LoadRows
 
 
 @dataclass(frozen=True, slots=True)
 class ChangedRows:
-    """What changed at upstreams since the last section."""
+    """The upstreams that changed since the previous section."""
 
     #: The keys of upstreams.
     keys: Sequence[int] = ()
     #: The requests of the zone at each of them, at most 255.
     counts: Sequence[int] = ()
-    #: The mean duration of those that an upstream in good standing has answered since, to within
-    #: 5%; 0 where it answered none.
+    #: The mean duration of the requests that an upstream in good health has answered since the
+    #: previous section, to within 5%; 0 for none.
     durations_s: Sequence[float] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RosterSlice:
-    """The living instances of a part of the hub's zone."""
+    """The living instances of a slice of the hub's zone."""
 
-    #: Which part: the instances whose address has this remainder by ``of``.
+    #: The index of the slice: it holds the instances whose address has this remainder modulo the
+    #: number of slices.
     number: int
-    #: The number of parts.
+    #: The number of slices.
     of: int
-    #: Whether instances of the part that are not listed are gone. A new hub has not heard of all.
+    #: Whether instances of the slice that are not listed have left. A new hub has not yet received
+    #: heartbeats of all instances.
     complete: bool
     #: The instances.
     instances: Sequence[Instance]
-    #: The place of each instance in the acknowledgements.
+    #: The index of each instance in the acknowledgements of sections.
     places: Sequence[int]
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """One message of a hub; whatever is empty was left out and changes nothing."""
+    """The periodic summary message of a zone's hub; empty fields were omitted and change nothing.
+    """
 
-    #: For whom it is made.
+    #: The receivers of the section.
     scope: Scope
     #: The hub's zone.
     availability_zone: str
     #: The hub's address.
     hub: str
-    #: Rises with each start of the hub's process.
+    #: Increases with each start of the hub's process.
     incarnation: int
-    #: Rises with each section of the hub and the scope.
+    #: Increases with each section of the hub and the scope.
     sequence: int
     #: The version of the configuration that the hub has in force; 0 for none.
     config_version: int
@@ -98,33 +103,35 @@
     upstreams_revision: int
     #: The number of instances of the zone that are in contact with the store.
     store_readers: int
-    #: The number of instances whose counts are in the sums.
+    #: The number of instances in the aggregates.
     instances: int
-    #: The low byte of the last beat that is in the sums, by place; only inside the zone.
+    #: The low byte of the sequence number of each instance's last heartbeat in the aggregates, by
+    #: acknowledgement index; only inside the zone.
     acknowledged: bytes = b""
-    #: Loads that changed, and answers; only inside the zone.
+    #: Loads that changed, and durations of requests; only inside the zone.
     changed: ChangedRows = field(default_factory=ChangedRows)
-    #: A part of all loads.
+    #: A slice of all loads.
     loads: LoadSlice | None = None
-    #: The keys of upstreams that lately refused requests without running them.
+    #: The keys of upstreams that recently refused requests without executing them.
     refusals: Sequence[int] = ()
-    #: The number of the first of ``findings``.
+    #: The number of the first entry of ``outcomes``.
     first_finding: int = 0
-    #: What bears on upstreams' standing.
+    #: Outcomes that bear on the health of upstreams.
     findings: Sequence[Finding] = ()
-    #: What requests cost in the last moments.
+    #: Requests that were recently lost with the connection to their upstream.
     losses: Sequence[LossReport] = ()
     #: Upstreams that readers of the store dropped in the last seconds.
     dropped: Sequence[DropReport] = ()
-    #: Requests and repeats of the zone by service, since the hub began to count.
+    #: Requests and retries of the zone by service, since the hub started to count.
     repeats: Mapping[str, RepeatCounts] = field(default_factory=dict)
-    #: Limits that upstreams named or gave up in the last seconds.
+    #: Limits that upstreams advertised or withdrew in the last seconds.
     limits: Sequence[LimitReport] = ()
-    #: Who lives in the zone.
+    #: A slice of the zone's living instances.
     roster: RosterSlice | None = None
-    #: How old the hub's proof is that its configuration is the newest one; None for no proof.
+    #: Seconds since the hub's configuration was confirmed as current; None when not reported.
     config_proof_age_s: float | None = None
-    #: The last sections that were heard of the other zones' hubs; only between zones.
+    #: The last sections received from the hubs of other zones; only between zones.
     heard: Sequence[SectionEcho] = ()
-    #: What the zone counted of accounts with a quota that asked lately, by key.
+    #: The zone's request counts of recently active client accounts with a quota, by the key of the
+    #: account.
     accounts: Mapping[int, AccountReport] = field(default_factory=dict)
--- a/src/egretrail/cluster/_section_codec.py
+++ b/src/egretrail/cluster/_section_codec.py
@@ -1,4 +1,4 @@
-"""The packed form of sections: numbers of fixed width, decoded without an object for each row."""
+"""The packed form of sections: fixed-width numbers, decoded without an object for each row."""
 
 import math
 import struct
@@ -9,8 +9,8 @@
 
 import msgpack
 
-from egretrail.cluster._beat import DropReport, Finding, LimitReport, LossReport
-from egretrail.cluster._config_proof import SectionEcho
+from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
+from egretrail.cluster._config_freshness import SectionEcho
 from egretrail.cluster._instance import Instance, InstanceState
 from egretrail.cluster._section import (
     ChangedRows,
@@ -28,25 +28,26 @@
     RequestDigest,
 )
 
-#: An instance: place, address, incarnation, state, capacity.
+#: An instance: acknowledgement index, address, incarnation, state, capacity.
 _INSTANCE = struct.Struct("<HIIBB")
-#: A finding: upstream, outcome, duration in milliseconds, observer.
-_FINDING = struct.Struct("<IBHI")
-#: An account: key, all requests that came and were sent, those of the last moments.
+#: An outcome report: upstream key, outcome, duration in milliseconds, observer.
+_OUTCOME = struct.Struct("<IBHI")
+#: An account: key, total requests received and sent, recent requests received and sent.
 _ACCOUNT = struct.Struct("<IHHHH")
-#: Capacities are told in steps of this part of a core; the largest that can be told has 12.7.
+#: The unit of capacities on the wire, as a fraction of a core; the largest capacity on the wire is
+#: 12.7 cores.
 _CAPACITY_STEP = 0.05
 _BYTE_MAX, _SHORT_MAX, _WORD_MAX = 0xFF, 0xFFFF, 0xFFFF_FFFF
 #: Durations in one byte: from a millisecond to a minute, to within 2.2%.
 _SHORTEST_S = 0.001
-_STEPS_A_DOUBLING = 16
-#: Addresses that are remembered in both forms.
+_STEPS_PER_DOUBLING = 16
+#: Maximum addresses in the cache of each conversion.
 _ADDRESSES_MAX = 2_048
 
 
 @lru_cache(maxsize=_ADDRESSES_MAX)
 def address_number(address: str) -> int:
-    """Return an IPv4 address as a number; a ValueError for another text."""
+    """Return an IPv4 address as a number; raises ValueError for other text."""
     return int(IPv4Address(address))
 
 
@@ -56,7 +57,7 @@
 
 
 def encode_instances(instances: Iterable[Instance], places: Sequence[int] = ()) -> bytes:
-    """Return the rows of instances of one zone, with their places where they have any."""
+    """Return the rows of one zone's instances, with their acknowledgement indexes if given."""
     return b"".join(
         _INSTANCE.pack(
             places[number] if places else 0,
@@ -70,7 +71,7 @@
 
 
 def decode_instances(data: bytes, availability_zone: str) -> list[tuple[Instance, int]]:
-    """Return the instances of rows, each with its place."""
+    """Return the instances of rows, each with its acknowledgement index."""
     return [
         (
             Instance(
@@ -80,9 +81,9 @@
                 InstanceState(state),
                 round(capacity * _CAPACITY_STEP, 2),
             ),
-            place,
+            ack_index,
         )
-        for place, number, incarnation, state, capacity in _INSTANCE.iter_unpack(data)
+        for ack_index, number, incarnation, state, capacity in _INSTANCE.iter_unpack(data)
     ]
 
 
@@ -100,17 +101,17 @@
             section.store_readers,
             section.instances,
             section.acknowledged,
-            _changed_fields(section.changed),
-            _slice_fields(section.loads),
-            _words(section.refusals),
+            _encode_changed(section.changed),
+            _encode_slice(section.loads),
+            _pack_words(section.refusals),
             section.first_finding,
-            _findings(section.findings),
+            _encode_outcomes(section.findings),
             [[loss.digest, loss.upstream_key] for loss in section.losses],
             [[drop.upstream_id, drop.revision] for drop in section.dropped],
             {name: [one.requests, one.repeats] for name, one in section.repeats.items()},
-            _roster_fields(section.roster),
+            _encode_roster(section.roster),
             encode_limits(section.limits),
-            encode_proof_age(section.config_proof_age_s),
+            encode_freshness_age(section.config_proof_age_s),
             [encode_echo(echo) for echo in section.heard],
             encode_accounts(section.accounts),
         ]
@@ -119,7 +120,7 @@
 
 
 def decode_section(data: bytes) -> Section:
-    """Read a section; bytes that are none raise one of ``MALFORMED``."""
+    """Decode a section; raises one of ``MALFORMED`` for invalid bytes."""
     row = msgpack.unpackb(data)
     zone = str(row[1])
     return Section(
@@ -133,24 +134,24 @@
         store_readers=int(row[7]),
         instances=int(row[8]),
         acknowledged=bytes(row[9]),
-        changed=_changed(row[10]),
-        loads=_slice(row[11]),
-        refusals=_unwords(row[12]),
+        changed=_decode_changed(row[10]),
+        loads=_decode_slice(row[11]),
+        refusals=_unpack_words(row[12]),
         first_finding=int(row[13]),
-        findings=_unfindings(row[14]),
+        findings=_decode_outcomes(row[14]),
         losses=[LossReport(RequestDigest(int(digest)), int(key)) for digest, key in row[15]],
         dropped=[DropReport(str(name), int(revision)) for name, revision in row[16]],
         repeats={str(name): RepeatCounts(int(a), int(b)) for name, (a, b) in row[17].items()},
-        roster=_roster(row[18], zone),
+        roster=_decode_roster(row[18], zone),
         limits=decode_limits(row[19]),
-        config_proof_age_s=decode_proof_age(row[20]),
+        config_proof_age_s=decode_freshness_age(row[20]),
         heard=[decode_echo(echo) for echo in row[21]],
         accounts=decode_accounts(row[22]),
     )
 
 
 def encode_accounts(reports: Mapping[int, AccountReport]) -> bytes:
-    """Return the rows of what was counted of accounts."""
+    """Return the rows of the request counts of accounts."""
     return b"".join(
         _ACCOUNT.pack(
             key,
@@ -164,21 +165,21 @@
 
 
 def decode_accounts(data: bytes) -> Mapping[int, AccountReport]:
-    """Return what was counted of accounts; bytes that are no rows raise one of ``MALFORMED``."""
+    """Return the request counts of accounts; raises one of ``MALFORMED`` for invalid rows."""
     return {
         key: AccountReport(AccountCounts(asked, sent), AccountCounts(recent_asked, recent_sent))
         for key, asked, sent, recent_asked, recent_sent in _ACCOUNT.iter_unpack(data)
     }
 
 
-def encode_proof_age(age_s: float | None) -> int | None:
-    """Return the age of a proof in milliseconds, rounded up: it may look older, never younger."""
+def encode_freshness_age(age_s: float | None) -> int | None:
+    """Return a freshness age in milliseconds, rounded up: it may look older, but never younger."""
     return None if age_s is None or math.isinf(age_s) else math.ceil(age_s * 1000)
 
 
-def decode_proof_age(value: Any) -> float | None:
-    """Return the age of a proof; a number that is none raises one of ``MALFORMED``."""
-    return None if value is None else _age_s(value)
+def decode_freshness_age(value: Any) -> float | None:
+    """Return a freshness age in seconds; raises one of ``MALFORMED`` for an invalid value."""
+    return None if value is None else _decode_age_s(value)
 
 
 def encode_echo(echo: SectionEcho) -> list[int]:
@@ -187,116 +188,116 @@
 
 
 def decode_echo(row: Sequence[Any]) -> SectionEcho:
-    """Return the echo of a row; other values raise one of ``MALFORMED``."""
+    """Return the echo of a row; raises one of ``MALFORMED`` for invalid values."""
     hub, incarnation, sequence = row
     return SectionEcho(_address(int(hub)), int(incarnation), int(sequence))
 
 
 def encode_limits(limits: Iterable[LimitReport]) -> list[list[Any]]:
-    """Return the rows of limits: upstream, requests a second or None, age in milliseconds."""
+    """Return the rows of limits: upstream key, requests a second or None, age in milliseconds."""
     return [[one.upstream_key, one.limit_per_s, round(one.age_s * 1000)] for one in limits]
 
 
 def decode_limits(rows: Iterable[Sequence[Any]]) -> Sequence[LimitReport]:
-    """Return the limits of rows; numbers that are none raise one of ``MALFORMED``."""
+    """Return the limits of rows; raises one of ``MALFORMED`` for invalid numbers."""
     return [
-        LimitReport(decode_key(key), None if limit is None else _rate(limit), _age_s(age_ms))
+        LimitReport(decode_key(key), None if limit is None else _decode_rate(limit), _decode_age_s(age_ms))
         for key, limit, age_ms in rows
     ]
 
 
 def decode_key(value: Any) -> int:
-    """Return an upstream's key; hubs pack them in 32 bits."""
+    """Return an upstream's key, verified to fit into the 32 bits in which hubs pack it."""
     key = int(value)
     if not 0 <= key <= _WORD_MAX:
-        raise ValueError(f"upstream key {key}")
+        raise ValueError(f"upstream key out of range: {key}")
     return key
 
 
-def _rate(value: Any) -> float:
+def _decode_rate(value: Any) -> float:
     rate = float(value)
     if not 0.0 <= rate < math.inf:
-        raise ValueError(f"limit {rate}")
+        raise ValueError(f"invalid limit {rate}")
     return rate
 
 
-def _age_s(value: Any) -> float:
+def _decode_age_s(value: Any) -> float:
     age_ms = int(value)
     if age_ms < 0:
-        raise ValueError(f"age {age_ms}")
+        raise ValueError(f"negative age {age_ms} ms")
     return age_ms / 1000
 
 
-def _words(numbers: Sequence[int]) -> bytes:
+def _pack_words(numbers: Sequence[int]) -> bytes:
     return struct.pack(f"<{len(numbers)}I", *numbers)
 
 
-def _unwords(data: bytes) -> Sequence[int]:
+def _unpack_words(data: bytes) -> Sequence[int]:
     return struct.unpack(f"<{len(data) // 4}I", data)
 
 
-def _capped(counts: Iterable[int]) -> bytes:
+def _pack_capped(counts: Iterable[int]) -> bytes:
     return bytes(min(count, _BYTE_MAX) for count in counts)
 
 
-def _load_fields(rows: LoadRows) -> list[bytes]:
-    return [_words(rows.keys), _capped(rows.counts)]
+def _encode_loads(rows: LoadRows) -> list[bytes]:
+    return [_pack_words(rows.keys), _pack_capped(rows.counts)]
 
 
-def _loads(fields: Sequence[bytes]) -> LoadRows:
-    keys, counts = _unwords(fields[0]), bytes(fields[1])
+def _decode_loads(fields: Sequence[bytes]) -> LoadRows:
+    keys, counts = _unpack_words(fields[0]), bytes(fields[1])
     if len(keys) != len(counts):
-        raise ValueError("loads with more keys than counts, or fewer")
+        raise ValueError("loads have unequal numbers of keys and counts")
     return LoadRows(keys, counts)
 
 
-def _slice_fields(loads: LoadSlice | None) -> list[Any] | None:
-    return None if loads is None else [loads.number, loads.of, *_load_fields(loads.rows)]
+def _encode_slice(loads: LoadSlice | None) -> list[Any] | None:
+    return None if loads is None else [loads.number, loads.of, *_encode_loads(loads.rows)]
 
 
-def _slice(fields: Sequence[Any] | None) -> LoadSlice | None:
+def _decode_slice(fields: Sequence[Any] | None) -> LoadSlice | None:
     if fields is None:
         return None
-    number, of, *rows = fields
-    _check_part(number, of)
-    return LoadSlice(number, of, _loads(rows))
+    index, total, *rows = fields
+    _check_slice(index, total)
+    return LoadSlice(index, total, _decode_loads(rows))
 
 
-def _check_part(number: int, of: int) -> None:
-    if not 0 <= number < of <= _SHORT_MAX:
-        raise ValueError(f"part {number} of {of}")
+def _check_slice(index: int, total: int) -> None:
+    if not 0 <= index < total <= _SHORT_MAX:
+        raise ValueError(f"invalid slice {index} of {total}")
 
 
 def _duration_byte(duration_s: float) -> int:
-    """Return a duration in one byte, in steps of a sixteenth of a doubling; 0 for none."""
+    """Return a duration as one byte, in steps of a sixteenth of a doubling; 0 for none."""
     if duration_s <= 0:
         return 0
-    steps = round(math.log2(max(duration_s / _SHORTEST_S, 1.0)) * _STEPS_A_DOUBLING)
+    steps = round(math.log2(max(duration_s / _SHORTEST_S, 1.0)) * _STEPS_PER_DOUBLING)
     return min(steps + 1, _BYTE_MAX)
 
 
-#: The durations of all bytes.
+#: The durations in seconds by their byte.
 _DURATIONS_S = [0.0] + [
-    _SHORTEST_S * 2 ** (steps / _STEPS_A_DOUBLING) for steps in range(_BYTE_MAX)
+    _SHORTEST_S * 2 ** (steps / _STEPS_PER_DOUBLING) for steps in range(_BYTE_MAX)
 ]
 
 
-def _changed_fields(rows: ChangedRows) -> list[bytes]:
+def _encode_changed(rows: ChangedRows) -> list[bytes]:
     durations = bytes(map(_duration_byte, rows.durations_s))
-    return [_words(rows.keys), _capped(rows.counts), durations]
+    return [_pack_words(rows.keys), _pack_capped(rows.counts), durations]
 
 
-def _changed(fields: Sequence[bytes]) -> ChangedRows:
-    keys, counts = _unwords(fields[0]), bytes(fields[1])
+def _decode_changed(fields: Sequence[bytes]) -> ChangedRows:
+    keys, counts = _unpack_words(fields[0]), bytes(fields[1])
     durations_s = [_DURATIONS_S[byte] for byte in fields[2]]
     if not len(keys) == len(counts) == len(durations_s):
-        raise ValueError("changed rows with parts of unlike lengths")
+        raise ValueError("changed rows have columns of unequal length")
     return ChangedRows(keys, counts, durations_s)
 
 
-def _findings(findings: Iterable[Finding]) -> bytes:
+def _encode_outcomes(findings: Iterable[Finding]) -> bytes:
     return b"".join(
-        _FINDING.pack(
+        _OUTCOME.pack(
             one.upstream_key,
             one.outcome,
             min(max(round(one.duration_s * 1000), 0), _SHORT_MAX),
@@ -306,30 +307,30 @@
     )
 
 
-def _unfindings(data: bytes) -> Sequence[Finding]:
+def _decode_outcomes(data: bytes) -> Sequence[Finding]:
     return [
         Finding(key, Outcome(outcome), duration_ms / 1000, _address(observer))
-        for key, outcome, duration_ms, observer in _FINDING.iter_unpack(data)
+        for key, outcome, duration_ms, observer in _OUTCOME.iter_unpack(data)
     ]
 
 
-def _roster_fields(roster: RosterSlice | None) -> list[Any] | None:
+def _encode_roster(roster: RosterSlice | None) -> list[Any] | None:
     if roster is None:
         return None
     rows = encode_instances(roster.instances, roster.places)
     return [roster.number, roster.of, roster.complete, rows]
 
 
-def _roster(fields: Sequence[Any] | None, availability_zone: str) -> RosterSlice | None:
+def _decode_roster(fields: Sequence[Any] | None, availability_zone: str) -> RosterSlice | None:
     if fields is None:
         return None
-    number, of, complete, rows = fields
-    _check_part(number, of)
+    index, total, complete, rows = fields
+    _check_slice(index, total)
     decoded = decode_instances(rows, availability_zone)
     return RosterSlice(
-        number,
-        of,
+        index,
+        total,
         bool(complete),
         [instance for instance, _ in decoded],
-        [place for _, place in decoded],
+        [ack_index for _, ack_index in decoded],
     )
--- a/src/egretrail/cluster/tests/messages.py
+++ b/src/egretrail/cluster/tests/messages.py
@@ -1,13 +1,13 @@
-"""Messages of instances and hubs, with what a test does not care about filled in."""
+"""Builders of messages with default values for the fields that a test does not set."""
 
 from typing import Any
 
 from egretrail.cluster import Beat, Instance, InstanceState, Scope, Section
 
 
-def beat(origin: str, sequence: int = 1, **parts: Any) -> Beat:
-    """Return a beat of an instance of zone ``a``."""
-    head: dict[str, Any] = {
+def heartbeat(origin: str, sequence: int = 1, **fields: Any) -> Beat:
+    """Return a heartbeat of an instance in zone ``a``."""
+    defaults: dict[str, Any] = {
         "availability_zone": "a",
         "incarnation": 7,
         "state": InstanceState.READY,
@@ -16,23 +16,23 @@
         "upstreams_revision": 40,
         "store_contact": False,
     }
-    return Beat(origin=origin, sequence=sequence, **{**head, **parts})
+    return Beat(origin=origin, sequence=sequence, **{**defaults, **fields})
 
 
-def instance(address: str, **parts: Any) -> Instance:
-    """Return a ready instance of zone ``a``."""
-    head: dict[str, Any] = {
+def instance(address: str, **fields: Any) -> Instance:
+    """Return a ready instance in zone ``a``."""
+    defaults: dict[str, Any] = {
         "availability_zone": "a",
         "incarnation": 7,
         "state": InstanceState.READY,
         "capacity": 1.0,
     }
-    return Instance(address=address, **{**head, **parts})
+    return Instance(address=address, **{**defaults, **fields})
 
 
-def section(**parts: Any) -> Section:
+def section(**fields: Any) -> Section:
     """Return a section of the hub of zone ``a``."""
-    head: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "scope": Scope.ZONE,
         "availability_zone": "a",
         "hub": "10.0.0.1",
@@ -43,4 +43,4 @@
         "store_readers": 1,
         "instances": 11,
     }
-    return Section(**{**head, **parts})
+    return Section(**{**defaults, **fields})
--- a/src/egretrail/cluster/tests/test_cluster.py
+++ b/src/egretrail/cluster/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""Membership, and the form of datagrams."""
+"""Tests of membership and of the wire format of datagrams and fetch messages."""
 
 import zlib
 from collections.abc import Mapping, Sequence
@@ -44,7 +44,7 @@
     encode_sections,
     encode_upstreams,
 )
-from egretrail.cluster.tests.messages import beat, instance, section
+from egretrail.cluster.tests.messages import heartbeat, instance, section
 from egretrail.dispatch import DoubtRecord, Outcome, RepeatCounts, RequestDigest
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
@@ -52,9 +52,9 @@
 _FAILURE = Finding(77, Outcome.FAILED, 0.003, "10.0.0.2")
 
 
-class BeatFormTest(EgretrailTestCase):
-    def test_a_beat_comes_back_as_it_was(self) -> None:
-        sent = beat(
+class HeartbeatCodecTest(EgretrailTestCase):
+    def test_heartbeat_round_trip(self) -> None:
+        sent = heartbeat(
             "10.0.0.2",
             loads={2**32 - 1: 2},
             first_finding=9,
@@ -70,7 +70,7 @@
         self.assertEqual(Ok(BeatsDatagram(1, [sent])), decoded)
 
 
-class SectionFormTest(EgretrailTestCase):
+class SectionCodecTest(EgretrailTestCase):
     @cases(
         {
             "nothing": {},
@@ -79,21 +79,21 @@
                 "loads": LoadSlice(3, 10, LoadRows((13, 23), bytes([1, 2]))),
                 "acknowledged": bytes(range(73)),
             },
-            "findings": {"first_finding": 2**40, "findings": [_FAILURE], "refusals": (5, 6)},
+            "outcomes": {"first_finding": 2**40, "findings": [_FAILURE], "refusals": (5, 6)},
             "reports": {
                 "losses": [LossReport(RequestDigest(2**63 + 5), 77)],
                 "dropped": [DropReport("u3", 41)],
                 "limits": [LimitReport(7, 1.5, 0.25), LimitReport(2**32 - 1, None, 1.0)],
                 "repeats": {"s": RepeatCounts(2**33, 1)},
             },
-            "a list of the zone": {
+            "a roster": {
                 "roster": RosterSlice(
                     0, 2, True, [instance("10.0.0.2"), instance("10.0.0.4", capacity=2.15)], [0, 7]
                 )
             },
         }
     )
-    def test_a_section_comes_back_as_it_was(self, parts: Mapping[str, Any]) -> None:
+    def test_section_round_trip(self, parts: Mapping[str, Any]) -> None:
         sent = section(**parts)
         for across in (False, True):
             [data] = encode_sections([sent], across=across)
@@ -102,24 +102,24 @@
             datagram = decoded.ok_value
             assert isinstance(datagram, SectionsDatagram)
             self.assertEqual((across, 0), (datagram.across, datagram.hops))
-            [came] = datagram.sections
+            [received] = datagram.sections
             for name, part in parts.items():
-                self.assertEqual(part, getattr(came, name))
-            self.assertEqual([data], list(encode_sections([came], across=across)))
-            again = decode_datagram(encode_passed_on(datagram))
-            assert isinstance(again, Ok)
-            assert isinstance(again.ok_value, SectionsDatagram)
-            self.assertEqual((1, [came]), (again.ok_value.hops, list(again.ok_value.sections)))
-
-    @cases({"a millisecond": 0.001, "usual work": 0.32, "a minute": 59.0})
-    def test_durations_keep_their_size(self, duration_s: float) -> None:
+                self.assertEqual(part, getattr(received, name))
+            self.assertEqual([data], list(encode_sections([received], across=across)))
+            relayed = decode_datagram(encode_passed_on(datagram))
+            assert isinstance(relayed, Ok)
+            assert isinstance(relayed.ok_value, SectionsDatagram)
+            self.assertEqual((1, [received]), (relayed.ok_value.hops, list(relayed.ok_value.sections)))
+
+    @cases({"a millisecond": 0.001, "a typical request": 0.32, "a minute": 59.0})
+    def test_durations_are_decoded_within_their_precision(self, duration_s: float) -> None:
         sent = section(changed=ChangedRows((1,), b"\x01", [duration_s]))
         [data] = encode_sections([sent], across=False)
         decoded = decode_datagram(data)
         assert isinstance(decoded, Ok)
         assert isinstance(decoded.ok_value, SectionsDatagram)
-        [told_s] = decoded.ok_value.sections[0].changed.durations_s
-        self.assertLess(abs(told_s / duration_s - 1.0), 0.025)
+        [decoded_s] = decoded.ok_value.sections[0].changed.durations_s
+        self.assertLess(abs(decoded_s / duration_s - 1.0), 0.025)
 
     def test_many_sections_are_split_into_packets(self) -> None:
         rows = LoadRows(tuple(range(100)), bytes(100))
@@ -135,8 +135,8 @@
         self.assertEqual([one.sequence for one in sent], [one.sequence for one in seen])
 
 
-class IntroductionFormTest(EgretrailTestCase):
-    def test_all_instances_are_introduced_in_packets(self) -> None:
+class IntroductionCodecTest(EgretrailTestCase):
+    def test_introductions_are_split_into_packets(self) -> None:
         known = [
             instance(f"10.0.{n % 3}.{n}", availability_zone=f"zone-{n % 3}") for n in range(200)
         ]
@@ -153,8 +153,8 @@
         self.assertEqual(set(known), seen)
 
 
-def _section_row(position: int, value: object) -> bytes:
-    """Return a datagram of one section with one field replaced."""
+def _section_datagram(position: int, value: object) -> bytes:
+    """Return a datagram with one section, one field of which is replaced."""
     [data] = encode_sections([section()], across=False)
     [encoded] = msgpack.unpackb(data)[3]
     row = msgpack.unpackb(encoded)
@@ -162,55 +162,55 @@
     return bytes(msgpack.packb([5, 1, 0, [msgpack.packb(row)]]))
 
 
-def _beat_row(position: int, value: object) -> bytes:
-    """Return a datagram of one beat with one field replaced."""
-    datagram = msgpack.unpackb(encode_beats(BeatsDatagram(0, [beat("10.0.0.2")])))
+def _heartbeat_datagram(position: int, value: object) -> bytes:
+    """Return a datagram with one heartbeat, one field of which is replaced."""
+    datagram = msgpack.unpackb(encode_beats(BeatsDatagram(0, [heartbeat("10.0.0.2")])))
     datagram[3][0][position] = value
     return bytes(msgpack.packb(datagram))
 
 
-class MalformedTest(EgretrailTestCase):
+class MalformedMessageTest(EgretrailTestCase):
     @cases(
         {
-            "an origin that is no address": (0, "o"),
-            "a capacity that is no number": (5, float("nan")),
-            "a capacity without end": (5, float("inf")),
-            "a load of a key beyond 32 bits": (9, {2**32: 1}),
-            "a finding of a negative key": (11, [[-1, 1, 3]]),
-            "a success of a key beyond 32 bits": (14, [[2**32, 0, 3]]),
-            "a loss of a negative digest": (12, [[-1, 5]]),
+            "an origin that is not an address": (0, "o"),
+            "a capacity that is not a number": (5, float("nan")),
+            "an infinite capacity": (5, float("inf")),
+            "a load with a key beyond 32 bits": (9, {2**32: 1}),
+            "an outcome with a negative key": (11, [[-1, 1, 3]]),
+            "a success with a key beyond 32 bits": (14, [[2**32, 0, 3]]),
+            "a loss with a negative digest": (12, [[-1, 5]]),
         }
     )
-    def test_a_beat_that_its_hub_could_not_pass_on_is_malformed(
+    def test_heartbeat_with_values_that_the_hub_cannot_pack_is_malformed(
         self, case: tuple[int, object]
     ) -> None:
-        self.assertIsInstance(decode_datagram(_beat_row(*case)), Err)
+        self.assertIsInstance(decode_datagram(_heartbeat_datagram(*case)), Err)
 
     @cases(
         {
             "more than a datagram can hold": zlib.compress(b"\x00" * 10_000_000),
-            "cut short": zlib.compress(msgpack.packb([5, 2, 0, []]))[:-3],
+            "truncated": zlib.compress(msgpack.packb([5, 2, 0, []]))[:-3],
             "another version": msgpack.packb([4, 0, 0, []]),
             "an unknown kind": msgpack.packb([5, 9, 0, []]),
-            "a beat of too few fields": msgpack.packb([5, 0, 0, [["10.0.0.1"]]]),
-            "loads that are no table": msgpack.packb(
+            "a heartbeat with too few fields": msgpack.packb([5, 0, 0, [["10.0.0.1"]]]),
+            "loads that are not a table": msgpack.packb(
                 [5, 0, 0, [["o", "a", 1, 1, 1, 1.0, 1, 1, True, 5]]]
             ),
-            "a number without end": msgpack.packb([5, 0, 0, [["o", "a", float("inf")]]]),
-            "a hub that is no address": _section_row(2, -1),
-            "more keys than counts": _section_row(10, [b"\x00" * 8, b"\x01", b"\x00"]),
-            "keys cut short": _section_row(10, [b"\x00" * 7, b"\x01", b"\x00"]),
-            "a part beyond all parts": _section_row(11, [3, 3, b"", b""]),
-            "parts of nothing": _section_row(11, [0, 0, b"", b""]),
-            "findings cut short": _section_row(14, b"\x00" * 10),
-            "an unknown outcome": _section_row(14, b"\x00" * 4 + b"\x63" + b"\x00" * 6),
-            "a list cut short": _section_row(18, [0, 1, True, b"\x00" * 11]),
+            "an infinite number": msgpack.packb([5, 0, 0, [["o", "a", float("inf")]]]),
+            "a hub that is not an address": _section_datagram(2, -1),
+            "more keys than counts": _section_datagram(10, [b"\x00" * 8, b"\x01", b"\x00"]),
+            "truncated keys": _section_datagram(10, [b"\x00" * 7, b"\x01", b"\x00"]),
+            "a slice index that is not below the total": _section_datagram(11, [3, 3, b"", b""]),
+            "a total of zero slices": _section_datagram(11, [0, 0, b"", b""]),
+            "truncated outcomes": _section_datagram(14, b"\x00" * 10),
+            "an unknown outcome": _section_datagram(14, b"\x00" * 4 + b"\x63" + b"\x00" * 6),
+            "a truncated roster": _section_datagram(18, [0, 1, True, b"\x00" * 11]),
         }
     )
-    def test_odd_datagrams_are_a_typed_failure(self, data: bytes) -> None:
+    def test_malformed_datagrams_are_a_typed_error(self, data: bytes) -> None:
         self.assertIsInstance(decode_datagram(data), Err)
 
-    def test_fetches_come_back_as_they_were(self) -> None:
+    def test_fetch_messages_round_trip(self) -> None:
         record = UpstreamRecord("u", "s", "10.0.0.1:1", "a", 4, UpstreamState.DRAINING, 1.5, 9)
         doubts = [DoubtRecord("u", 1.5, 5.0, 1)]
         for reply in (
@@ -230,7 +230,7 @@
 
     @given(st.binary(max_size=200))
     @settings(max_examples=200, deadline=None, database=None)
-    def test_foreign_bytes_are_a_typed_failure(self, data: bytes) -> None:
+    def test_arbitrary_bytes_are_a_typed_error(self, data: bytes) -> None:
         self.assertIsInstance(decode_datagram(data), Err)
         self.assertIsInstance(decode_question(data), Err)
         self.assertIsInstance(decode_upstreams(data), Err)
@@ -239,12 +239,12 @@
 
     @given(st.integers(0, 18), st.binary(max_size=40))
     @settings(max_examples=200, deadline=None, database=None)
-    def test_a_field_of_foreign_bytes_raises_nothing(self, position: int, value: bytes) -> None:
-        self.assertIsInstance(decode_datagram(_section_row(position, value)), (Ok, Err))
+    def test_a_field_of_arbitrary_bytes_does_not_raise(self, position: int, value: bytes) -> None:
+        self.assertIsInstance(decode_datagram(_section_datagram(position, value)), (Ok, Err))
 
 
 class MembershipTest(EgretrailTestCase):
-    def _fleet(self, leaving: str = "") -> Membership:
+    def _membership(self, leaving: str = "") -> Membership:
         membership = Membership("10.0.0.1", "a")
         for number in range(2, 9):
             address = f"10.0.0.{number}"
@@ -254,7 +254,7 @@
         return membership
 
     def test_a_changed_own_capacity_changes_the_order(self) -> None:
-        membership = self._fleet()
+        membership = self._membership()
         changes: list[int] = []
         membership.on_change = lambda: changes.append(1)
         hub = membership.order("a")[0]
@@ -268,13 +268,13 @@
         membership.set_own_capacity(1.0)
         self.assertEqual(hub, membership.order("a")[0])
 
-    def test_an_instance_that_its_hub_does_not_hear_is_gone_within_a_second_and_a_bit(self) -> None:
-        membership = self._fleet()
+    def test_an_instance_without_heartbeats_is_removed_within_1200_ms(self) -> None:
+        membership = self._membership()
         self.assertEqual([], list(membership.expire(1.0)))
         self.assertEqual(7, len(membership.expire(1.2)))
 
-    def test_listed_instances_live_as_long_as_their_hub_tells(self) -> None:
-        membership = self._fleet()
+    def test_listed_instances_stay_alive_while_their_hub_sends_sections(self) -> None:
+        membership = self._membership()
         for at_s in (0.5, 1.5, 2.5):
             membership.keep("b", at_s)
         gone = {one.address for one in membership.expire(3.0)}
@@ -283,21 +283,21 @@
 
     @cases(
         {
-            "of all": (0, 1, True, {"10.0.0.3"}),
-            "by a hub that has not heard of all": (
+            "a complete roster": (0, 1, True, {"10.0.0.3"}),
+            "an incomplete roster of a new hub": (
                 0,
                 1,
                 False,
                 {f"10.0.0.{n}" for n in range(2, 6)},
             ),
-            "of the odd part": (1, 2, True, {"10.0.0.2", "10.0.0.3", "10.0.0.4"}),
+            "the slice of odd addresses": (1, 2, True, {"10.0.0.2", "10.0.0.3", "10.0.0.4"}),
         }
     )
-    def test_what_a_list_leaves_out_is_gone(
+    def test_instances_missing_from_a_complete_roster_are_removed(
         self, case: tuple[int, int, bool, Sequence[str]]
     ) -> None:
         number, of, complete, left = case
-        membership = self._fleet()
+        membership = self._membership()
         listed = RosterSlice(number, of, complete, [instance("10.0.0.3")], [0])
         membership.take_roster("a", listed, 0.1)
         self.assertEqual(set(left), {one.address for one in membership.zone_instances("a")})
@@ -305,13 +305,13 @@
 
     @cases(
         {
-            "an old word, soon": (9, 9, 2.0, False),
-            "a new lifetime": (9, 10, 2.0, True),
+            "an outdated introduction, soon": (9, 9, 2.0, False),
+            "a new incarnation": (9, 10, 2.0, True),
             "after a clock was set back, soon": (9, 8, 2.0, False),
             "after a clock was set back": (9, 8, 6.0, True),
         }
     )
-    def test_an_instance_that_is_gone_comes_back_by_a_new_lifetime(
+    def test_a_removed_instance_returns_with_a_new_incarnation(
         self, case: tuple[int, int, float, bool]
     ) -> None:
         before, after, now_s, known = case
@@ -321,7 +321,7 @@
         membership.introduce(instance("10.0.0.2", incarnation=after), now_s)
         self.assertIs(known, membership.named("10.0.0.2") is not None)
 
-    def test_a_word_that_is_told_on_and_on_keeps_nobody_alive(self) -> None:
+    def test_repeated_introductions_do_not_keep_a_failed_instance_alive(self) -> None:
         membership = Membership("10.0.0.1", "a")
         membership.introduce(instance("10.0.0.2"), 0.0)
         for tenth in range(1, 13):
@@ -330,7 +330,7 @@
         membership.introduce(instance("10.0.0.2"), 1.3)
         self.assertIsNone(membership.named("10.0.0.2"))
 
-    def test_one_hub_a_zone_and_all_agree(self) -> None:
+    def test_all_instances_agree_on_one_hub_per_zone(self) -> None:
         hubs = set()
         addresses = [f"10.0.0.{n}" for n in range(1, 6)]
         for own in addresses:
@@ -340,14 +340,14 @@
             hubs.add(membership.order("a")[0])
         self.assertEqual(1, len(hubs))
 
-    def test_a_leaving_instance_is_no_hub_and_tries_nothing(self) -> None:
-        hub = self._fleet().order("b")[0]
-        membership = self._fleet(leaving=hub)
+    def test_a_leaving_instance_is_removed_from_the_hub_order(self) -> None:
+        hub = self._membership().order("b")[0]
+        membership = self._membership(leaving=hub)
         self.assertNotIn(hub, membership.order("b"))
         membership.leave()
         self.assertNotIn("10.0.0.1", membership.order("a"))
 
-    def test_strong_instances_come_first(self) -> None:
+    def test_instances_with_large_capacity_precede_others(self) -> None:
         membership = Membership("10.9.0.1", "z")
         for number in range(31):
             capacity = 2.15 if number in (7, 19) else 0.45
@@ -355,13 +355,13 @@
             membership.hear(one, 0.0)
         self.assertEqual({"10.1.0.7", "10.1.0.19"}, set(membership.order("a")[:2]))
 
-    def test_other_zones_try_behind_the_zones_own(self) -> None:
-        membership = self._fleet()
+    def test_instances_of_other_zones_rank_after_the_zones_own(self) -> None:
+        membership = self._membership()
         self.assertLess(membership.rank_for("t", "a"), 5)
         self.assertGreaterEqual(membership.rank_for("t", "b"), 3)
         self.assertLess(membership.rank_for("t", "nobody's"), 5)
 
-    def test_ranks_for_a_task_are_unlike(self) -> None:
+    def test_ranks_for_a_task_are_distinct(self) -> None:
         addresses = [f"10.0.0.{n}" for n in range(1, 6)]
         ranks = set()
         for own in addresses:
@@ -371,12 +371,12 @@
             ranks.add(membership.rank_for("t", "a"))
         self.assertEqual(set(range(5)), ranks)
 
-    def test_a_pause_of_this_instance_makes_nobody_silent(self) -> None:
-        membership = self._fleet()
+    def test_a_pause_of_this_instance_removes_nobody(self) -> None:
+        membership = self._membership()
         membership.postpone(3.0)
         self.assertEqual([], list(membership.expire(4.0)))
 
 
 class ScopeTest(EgretrailTestCase):
-    def test_the_numbers_of_the_protocol_stay(self) -> None:
+    def test_wire_values_are_unchanged(self) -> None:
         self.assertEqual((0, 1), (Scope.ZONE.value, Scope.ACROSS.value))
--- a/src/egretrail/cluster/tests/test_config_parts.py
+++ b/src/egretrail/cluster/tests/test_config_chunks.py
@@ -1,4 +1,7 @@
-"""Configurations in parts: what a change moves, and that nothing but a whole version is joined."""
+"""Tests of chunked configurations.
+
+A change moves few chunks, and only complete versions are assembled.
+"""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -23,7 +26,7 @@
     encode_parts,
     part_config,
 )
-from egretrail.cluster._config_parts import PART_COUNT
+from egretrail.cluster._config_chunks import CHUNK_COUNT
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import (
     ClientAccount,
@@ -74,16 +77,16 @@
     source: PartedConfig, known: KnownOutlines, own: PartedConfig | None, arrived: PartsCollection
 ) -> PartedConfig | None:
     """Fetch a configuration as one peer does from another."""
-    outline = known.outline(source, own.digest if own is not None else 0)
-    while lacking := arrived.lacking(outline, own):
-        reply = decode_parts(encode_parts([source.parts[number] for number in lacking]))
+    manifest = known.outline(source, own.digest if own is not None else 0)
+    while missing := arrived.lacking(manifest, own):
+        reply = decode_parts(encode_parts([source.parts[number] for number in missing]))
         assert isinstance(reply, Ok)
-        for part in reply.ok_value:
-            arrived.add(part)
-    return arrived.join(outline, own)
+        for chunk in reply.ok_value:
+            arrived.add(chunk)
+    return arrived.join(manifest, own)
 
 
-class PartsTest(EgretrailTestCase):
+class ChunksTest(EgretrailTestCase):
     @cases(
         {
             "a route is changed": ([_route(0, 2.0), *_BASE.routes[1:]], {}, 1),
@@ -96,16 +99,16 @@
                 {"services": {**_BASE.services, "u": Service("u", "/h", 1)}},
                 1,
             ),
-            "a key is taken away": (
+            "an API key is revoked": (
                 _BASE.routes,
                 {"accounts": [replace(_ACCOUNTS[0], key_digests=()), *_ACCOUNTS[1:]]},
                 1,
             ),
-            "keys are asked for no more": (_BASE.routes, {"accounts": None}, 38),
-            "all is removed": ([], {"services": {}, "accounts": []}, PART_COUNT),
+            "API keys are no longer required": (_BASE.routes, {"accounts": None}, 38),
+            "everything is removed": ([], {"services": {}, "accounts": []}, CHUNK_COUNT),
         }
     )
-    def test_what_changed_is_told(
+    def test_only_changed_chunks_are_transferred(
         self, case: tuple[Sequence[Route], Mapping[str, object], int]
     ) -> None:
         routes, others, changed = case
@@ -116,48 +119,49 @@
         known.remember(before)
         self.assertEqual(changed, len(known.outline(after, before.digest).changed))
         for own in (before, None):
-            joined = _fetch(after, known, own, PartsCollection())
-            assert joined is not None
-            self.assertEqual(_contents(config), _contents(joined.config))
-            self.assertEqual(after.digest, joined.digest)
+            assembled = _fetch(after, known, own, PartsCollection())
+            assert assembled is not None
+            self.assertEqual(_contents(config), _contents(assembled.config))
+            self.assertEqual(after.digest, assembled.digest)
 
-    def test_unchanged_parts_are_kept_as_they_are(self) -> None:
+    def test_unchanged_chunks_are_reused(self) -> None:
         before = at_once(part_config(_BASE))
         routes = [_route(0, 2.0), *_BASE.routes[1:]]
         after = at_once(part_config(replace(_BASE, version=2, routes=routes), before))
         kept = sum(a is b for a, b in zip(after.parts, before.parts, strict=True))
-        self.assertEqual(PART_COUNT - 1, kept)
+        self.assertEqual(CHUNK_COUNT - 1, kept)
 
-    def test_work_is_done_in_slices(self) -> None:
+    def test_splitting_yields_between_slices(self) -> None:
         slices = list(part_config(_BASE))
-        self.assertGreater(len(slices), PART_COUNT // 16)
+        self.assertGreater(len(slices), CHUNK_COUNT // 16)
 
     @cases(
         {
-            "a part of another configuration": lambda parts: [*parts[1:], parts[0]],
-            "one part twice": lambda parts: [parts[1], *parts[1:]],
+            "chunks with other numbers": lambda chunks: [*chunks[1:], chunks[0]],
+            "a duplicate chunk": lambda chunks: [chunks[1], *chunks[1:]],
         }
     )
-    def test_parts_that_are_not_the_outlines_are_not_joined(self, mix: object) -> None:
+    def test_chunks_that_do_not_match_the_manifest_are_not_assembled(self, mix: object) -> None:
         source = at_once(part_config(_BASE))
-        outline = KnownOutlines().outline(source, 0)
+        manifest = KnownOutlines().outline(source, 0)
         mixed = replace(source, parts=tuple(mix(source.parts)))  # type: ignore[operator]
         wrong = KnownOutlines().outline(mixed, 0)
         arrived = PartsCollection()
-        for part in source.parts:
-            arrived.add(part)
-        self.assertIsNone(arrived.join(replace(wrong, digest=outline.digest), None))
+        for chunk in source.parts:
+            arrived.add(chunk)
+        self.assertIsNone(arrived.join(replace(wrong, digest=manifest.digest), None))
 
-    def test_a_reply_unpacks_to_a_bounded_size(self) -> None:
-        big = at_once(part_config(_config(1, [_route(1)], "s" * 17_000_000)))
-        part = max(big.parts, key=lambda one: len(one.packed))
-        self.assertIsInstance(decode_parts(encode_parts([part])), Err)
+    def test_the_decompressed_size_of_a_reply_is_bounded(self) -> None:
+        large = at_once(part_config(_config(1, [_route(1)], "s" * 17_000_000)))
+        chunk = max(large.parts, key=lambda one: len(one.packed))
+        self.assertIsInstance(decode_parts(encode_parts([chunk])), Err)
 
 
-class _Exchange(RuleBasedStateMachine):
-    """Instances that publish versions, and one that fetches from them with losses.
+class _TransferMachine(RuleBasedStateMachine):
+    """Two peers that publish versions, and an instance that fetches from them over a lossy link.
 
-    Load: versions follow each other while peers are killed, cut off and started again.
+    Versions follow each other while peers restart and transfers are interrupted. The instance must
+    never assemble a configuration that was not published.
     """
 
     def __init__(self) -> None:
@@ -169,7 +173,7 @@
 
     @initialize()
     def start(self) -> None:
-        """Let two peers have a first version."""
+        """Give two peers a first version."""
         first = self._publish({1, 2, 3})
         for _ in range(2):
             known = KnownOutlines()
@@ -178,37 +182,37 @@
 
     @rule(peer=st.integers(0, 1), numbers=st.sets(st.integers(0, 40), max_size=20))
     def change(self, peer: int, numbers: set[int]) -> None:
-        """Put a next version in force at one peer."""
-        self._take(peer, self._publish(numbers))
+        """Put the next version in force at one peer."""
+        self._apply(peer, self._publish(numbers))
 
     @rule(peer=st.integers(0, 1))
     def restart(self, peer: int) -> None:
-        """Start a peer again with what the other one has, and no memory of before."""
+        """Restart a peer with the other peer's configuration and without its manifest history."""
         other = self._peers[1 - peer][0]
         known = KnownOutlines()
         known.remember(other)
         self._peers[peer] = (other, known)
 
-    @rule(peer=st.integers(0, 1), arrives=st.integers(0, 12), forgets=st.booleans())
-    def fetch(self, peer: int, arrives: int, forgets: bool) -> None:
-        """Fetch from a peer; only some of the parts arrive."""
+    @rule(peer=st.integers(0, 1), arrives=st.integers(0, 12), discards=st.booleans())
+    def fetch(self, peer: int, arrives: int, discards: bool) -> None:
+        """Fetch from a peer; only some of the chunks arrive."""
         source, known = self._peers[peer]
         if self._own is not None and source.config.version <= self._own.config.version:
             return
-        outline = known.outline(source, self._own.digest if self._own is not None else 0)
-        if forgets:
+        manifest = known.outline(source, self._own.digest if self._own is not None else 0)
+        if discards:
             self._arrived.keep_only(outline)
-        lacking = self._arrived.lacking(outline, self._own)
-        for number in list(lacking)[:arrives]:
+        missing = self._arrived.lacking(manifest, self._own)
+        for number in list(missing)[:arrives]:
             self._arrived.add(source.parts[number])
-        joined = self._arrived.join(outline, self._own)
-        if arrives >= len(lacking):
-            assert joined is not None
-        if joined is not None:
-            self._own = joined
+        assembled = self._arrived.join(manifest, self._own)
+        if arrives >= len(missing):
+            assert assembled is not None
+        if assembled is not None:
+            self._own = assembled
 
     @invariant()
-    def what_is_in_force_was_published(self) -> None:
+    def config_in_force_was_published(self) -> None:
         if self._own is not None:
             config = self._own.config
             assert _contents(config) == _contents(self._published[config.version])
@@ -219,16 +223,16 @@
         self._published[version] = config
         return at_once(part_config(config))
 
-    def _take(self, peer: int, parted: PartedConfig) -> None:
+    def _apply(self, peer: int, parted: PartedConfig) -> None:
         _, known = self._peers[peer]
         known.remember(parted)
         self._peers[peer] = (parted, known)
 
 
-class ExchangeTest(EgretrailTestCase):
-    def test_only_whole_versions_come_in_force(self) -> None:
+class TransferTest(EgretrailTestCase):
+    def test_only_complete_versions_take_effect(self) -> None:
         run_state_machine_as_test(
-            _Exchange,
+            _TransferMachine,
             settings=settings(
                 max_examples=60, stateful_step_count=30, deadline=None, database=None
             ),
--- /dev/null
+++ b/src/egretrail/cluster/tests/test_zone_peers.py
@@ -0,0 +1,160 @@
+"""Tests of the subtraction of an instance's own contribution from its zone's aggregates.
+
+The result must be right although datagrams are lost, duplicated or late.
+"""
+
+import random
+
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+
+from egretrail.cluster import Beat, Hub, HubState, Section, ZoneShare
+from egretrail.cluster.tests.messages import heartbeat
+from egretrail.dispatch import RepeatCounts
+from egretrail.testing import EgretrailTestCase
+
+_KEYS = [3, 18, 33]
+_OWN, _OTHER = "10.0.0.1", "10.0.0.2"
+
+
+class _Instance:
+    """An instance that starts and ends requests and counts them."""
+
+    def __init__(self, address: str) -> None:
+        self.address = address
+        self.sequence = 0
+        self.loads: dict[int, int] = {}
+        self.counts = RepeatCounts()
+        self.zone_peers = ZoneShare()
+        self.ack_index: int | None = None
+
+    def heartbeat(self, now_s: float) -> Beat:
+        self.sequence += 1
+        sent_heartbeat = heartbeat(self.address, self.sequence, loads=dict(self.loads), repeats={"s": self.counts})
+        self.zone_peers.sent(sent_heartbeat, now_s)
+        return sent_heartbeat
+
+    def apply_section(self, section: Section) -> None:
+        if section.roster is not None:
+            for one, ack_index in zip(section.roster.instances, section.roster.places, strict=True):
+                if one.address == self.address:
+                    self.ack_index = ack_index
+        self.zone_peers.take(section, self.ack_index)
+        self.zone_peers.loads(section)
+
+
+class ZonePeersMachine(RuleBasedStateMachine):
+    """Two instances and a hub, with datagrams that are lost, duplicated or late."""
+
+    @initialize()
+    def start(self) -> None:
+        """Start with all three running."""
+        self.now_s = 0.0
+        self.instances = {address: _Instance(address) for address in (_OWN, _OTHER)}
+        self.hub = Hub("10.0.0.3", "a", 1, 0.0)
+        self.late: list[Beat] = []
+        self.repeats_since: dict[str, int] = {}
+
+    @rule(address=st.sampled_from([_OWN, _OTHER]), key=st.sampled_from(_KEYS))
+    def begin_request(self, address: str, key: int) -> None:
+        """Start a request, which also counts as a retry."""
+        one = self.instances[address]
+        one.loads[key] = one.loads.get(key, 0) + 1
+        one.counts = RepeatCounts(one.counts.requests + 1, one.counts.repeats + 1)
+
+    @rule(address=st.sampled_from([_OWN, _OTHER]), key=st.sampled_from(_KEYS))
+    def end_request(self, address: str, key: int) -> None:
+        """End a request."""
+        one = self.instances[address]
+        left = one.loads.get(key, 0) - 1
+        if left > 0:
+            one.loads[key] = left
+        else:
+            one.loads.pop(key, None)
+
+    @rule(
+        address=st.sampled_from([_OWN, _OTHER]),
+        fate=st.sampled_from(["delivered", "lost", "late", "duplicated"]),
+    )
+    def send_heartbeat(self, address: str, fate: str) -> None:
+        """Send a heartbeat to the hub."""
+        sent_heartbeat = self.instances[address].heartbeat(self.now_s)
+        if fate in ("delivered", "duplicated"):
+            self.hub.hear(sent_heartbeat, self.now_s, direct=True)
+        if fate in ("late", "duplicated"):
+            self.late.append(sent_heartbeat)
+
+    @rule()
+    def deliver_late(self) -> None:
+        """Deliver the oldest late heartbeat."""
+        if self.late:
+            self.hub.hear(self.late.pop(0), self.now_s, direct=True)
+
+    @rule(lost=st.sets(st.sampled_from([_OWN, _OTHER])))
+    def send_sections(self, lost: set[str]) -> None:
+        """Send the sections of the hub, except to the instances that lose the datagram."""
+        self.now_s += 0.1
+        for section in self.hub.zone_sections(HubState(1, 1), self.now_s):
+            for address, one in self.instances.items():
+                if address not in lost:
+                    one.apply_section(section)
+
+    @invariant()
+    def retries_of_peers_are_never_counted_twice(self) -> None:
+        """An instance counts no more of the peers' retries than the peers made."""
+        if not hasattr(self, "instances"):
+            return
+        for address, one in self.instances.items():
+            retries_made = sum(o.counts.repeats for a, o in self.instances.items() if a != address)
+            retries_counted = one.zone_peers.repeats().get("s", RepeatCounts()).repeats
+            assert retries_counted <= retries_made, (address, retries_counted, retries_made)
+
+    def teardown(self) -> None:
+        """After all datagrams arrived, each instance knows the exact loads of its peers."""
+        if not hasattr(self, "instances"):
+            return
+        for _ in range(2):
+            for one in self.instances.values():
+                self.hub.hear(one.heartbeat(self.now_s), self.now_s, direct=True)
+            for _ in range(31):
+                self.send_sections(set())
+        for address, one in self.instances.items():
+            others = [o for a, o in self.instances.items() if a != address]
+            known = one.zone_peers.of_others(_KEYS)
+            for key in _KEYS:
+                assert known[key] == sum(o.loads.get(key, 0) for o in others)
+
+
+ZonePeersMachine.TestCase.settings = settings(
+    max_examples=80, stateful_step_count=40, deadline=None, database=None
+)
+ZonePeersMachineTest = ZonePeersMachine.TestCase
+
+
+class ZonePeersTest(EgretrailTestCase):
+    def test_all_retries_of_peers_are_counted_without_losses(self) -> None:
+        rng = random.Random(3)
+        hub = Hub("10.0.0.3", "a", 1, 0.0)
+        instances = [_Instance(_OWN), _Instance(_OTHER)]
+        base = 0
+        for round_ in range(200):
+            for one in instances:
+                if rng.random() < 0.7:
+                    counts = one.counts
+                    one.counts = RepeatCounts(counts.requests + 1, counts.repeats + 1)
+                if rng.random() < 0.6:
+                    hub.hear(one.heartbeat(round_ / 10), round_ / 10, direct=True)
+            for section in hub.zone_sections(HubState(1, 1), round_ / 10):
+                for one in instances:
+                    one.apply_section(section)
+            if round_ == 10:
+                base = instances[1].counts.repeats
+        for one in instances:
+            hub.hear(one.heartbeat(21.0), 21.0, direct=True)
+        for section in hub.zone_sections(HubState(1, 1), 21.0):
+            instances[0].apply_section(section)
+        retries_counted = instances[0].zone_peers.repeats()["s"].repeats
+        retries_made = instances[1].counts.repeats
+        self.assertLessEqual(retries_counted, retries_made)
+        self.assertGreaterEqual(retries_counted, retries_made - base)
--- a/src/egretrail/identity/__init__.py
+++ b/src/egretrail/identity/__init__.py
@@ -1,4 +1,4 @@
-"""Names and value types that every other package shares."""
+"""Names and value types that all other packages share."""
 
 from egretrail.identity._names import (
     AvailabilityZone,
--- a/src/egretrail/identity/_names.py
+++ b/src/egretrail/identity/_names.py
@@ -1,4 +1,4 @@
-"""Typed names of the things the fleet talks about."""
+"""Typed names of the entities that the fleet's messages refer to."""
 
 from dataclasses import dataclass
 from typing import NewType
@@ -10,7 +10,7 @@
 UpstreamName = NewType("UpstreamName", str)
 TeamName = NewType("TeamName", str)
 
-#: A digest of the credential a caller presented; the credential itself is never kept.
+#: A digest of the credential that a caller presented; the credential itself is never stored.
 CallerId = NewType("CallerId", str)
 
 
@@ -18,13 +18,13 @@
 class Incarnation:
     """One run of an instance's process.
 
-    State held in memory belongs to an incarnation: when the process ends, whatever named this
-    incarnation can never be answered by a later process of the same instance.
+    In-memory state belongs to an incarnation. After the process ends, no later process of the same
+    instance can respond for the ended incarnation.
     """
 
-    #: The instance's configured name.
+    #: The configured name of the instance.
     instance: InstanceName
-    #: Rises with each start of the process, with random low bits so that two starts differ.
+    #: Increases with each start of the process; the low bits are random so that two starts differ.
     number: int
 
     def __str__(self) -> str:
--- a/src/egretrail/identity/_rendezvous.py
+++ b/src/egretrail/identity/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a stable order of members for a key, equal on every instance."""
+"""Rendezvous hashing: an order of members for a key that is the same on every instance."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -9,10 +9,11 @@
 
 
 def rendezvous_score(key: str, member: str, weight: float = 1.0) -> float:
-    """Return the member's score for the key; the highest score wins.
+    """Return the member's score for the key; the member with the highest score is preferred.
 
-    The weighted form is the logarithmic method: a member with twice the weight wins twice as many
-    keys, and changing one member's weight moves only the keys that it wins or loses.
+    Weights use the logarithmic method: a member with twice the weight is preferred for twice as
+    many keys, and a change of one member's weight moves only the keys that this member gains or
+    loses.
     """
     digest = xxhash.xxh3_64_intdigest(f"{key}\x00{member}".encode())
     uniform = (digest + 0.5) / _HASH_SPACE
