--- a/src/egretrail/cluster/_section_codec.py
+++ b/src/egretrail/cluster/_section_codec.py
@@ -295,7 +295,7 @@
     return ChangedRows(keys, counts, durations_s)
 
 
-def _encode_outcomes(findings: Iterable[Finding]) -> bytes:
+def _encode_outcomes(reports: Iterable[Finding]) -> bytes:
     return b"".join(
         _OUTCOME.pack(
             one.upstream_key,
@@ -303,7 +303,7 @@
             min(max(round(one.duration_s * 1000), 0), _SHORT_MAX),
             address_number(one.observer),
         )
-        for one in findings
+        for one in reports
     )
 
 
--- a/src/egretrail/cluster/tests/test_cluster.py
+++ b/src/egretrail/cluster/tests/test_cluster.py
@@ -93,8 +93,8 @@
             },
         }
     )
-    def test_section_round_trip(self, parts: Mapping[str, Any]) -> None:
-        sent = section(**parts)
+    def test_section_round_trip(self, fields: Mapping[str, Any]) -> None:
+        sent = section(**fields)
         for across in (False, True):
             [data] = encode_sections([sent], across=across)
             decoded = decode_datagram(data)
@@ -103,8 +103,8 @@
             assert isinstance(datagram, SectionsDatagram)
             self.assertEqual((across, 0), (datagram.across, datagram.hops))
             [received] = datagram.sections
-            for name, part in parts.items():
-                self.assertEqual(part, getattr(received, name))
+            for name, value in fields.items():
+                self.assertEqual(value, getattr(received, name))
             self.assertEqual([data], list(encode_sections([received], across=across)))
             relayed = decode_datagram(encode_passed_on(datagram))
             assert isinstance(relayed, Ok)
@@ -212,21 +212,21 @@
 
     def test_fetch_messages_round_trip(self) -> None:
         record = UpstreamRecord("u", "s", "10.0.0.1:1", "a", 4, UpstreamState.DRAINING, 1.5, 9)
-        doubts = [DoubtRecord("u", 1.5, 5.0, 1)]
+        suspicions = [DoubtRecord("u", 1.5, 5.0, 1)]
         for reply in (
-            UpstreamsReply(9, [record], doubts),
+            UpstreamsReply(9, [record], suspicions),
             UpstreamsReply(9, None, []),
             UpstreamsReply(9, None, [], {"u": record, "v": None}),
         ):
             self.assertEqual(Ok(reply), decode_upstreams(encode_upstreams(reply)))
-        outline = ConfigOutline(b"head", 2**64 - 1, 5, {0: 1, 255: 2**63})
-        self.assertEqual(Ok(outline), decode_outline(encode_outline(outline)))
-        for question in (
+        manifest = ConfigOutline(b"head", 2**64 - 1, 5, {0: 1, 255: 2**63})
+        self.assertEqual(Ok(manifest), decode_outline(encode_outline(manifest)))
+        for message in (
             UpstreamsQuestion(9, with_doubts=True),
             OutlineQuestion(2**64 - 1),
             PartsQuestion({0: 1, 255: 2**63}),
         ):
-            self.assertEqual(Ok(question), decode_question(encode_question(question)))
+            self.assertEqual(Ok(message), decode_question(encode_question(message)))
 
     @given(st.binary(max_size=200))
     @settings(max_examples=200, deadline=None, database=None)
--- a/src/egretrail/cluster/tests/test_config_chunks.py
+++ b/src/egretrail/cluster/tests/test_config_chunks.py
@@ -201,7 +201,7 @@
             return
         manifest = known.outline(source, self._own.digest if self._own is not None else 0)
         if discards:
-            self._arrived.keep_only(outline)
+            self._arrived.keep_only(manifest)
         missing = self._arrived.lacking(manifest, self._own)
         for number in list(missing)[:arrives]:
             self._arrived.add(source.parts[number])
--- a/src/egretrail/cluster/tests/test_hub.py
+++ b/src/egretrail/cluster/tests/test_hub.py
@@ -30,9 +30,9 @@
     return Finding(key, outcome, 0.003, "10.0.0.2")
 
 
-def _hub(*beats: Beat) -> Hub:
+def _hub(*heartbeats: Beat) -> Hub:
     hub = Hub(_HUB, "a", 7, 0.0)
-    for one in beats:
+    for one in heartbeats:
         hub.hear(one, 0.0, direct=True)
     return hub
 
@@ -119,9 +119,9 @@
         }
     )
     def test_which_updates_are_urgent(self, case: tuple[Mapping[str, Any], bool]) -> None:
-        parts, urgent = case
+        fields, urgent = case
         hub = _hub(heartbeat("10.0.0.2", 1))
-        self.assertIs(urgent, hub.hear(heartbeat("10.0.0.2", 2, **parts), 0.1, direct=True))
+        self.assertIs(urgent, hub.hear(heartbeat("10.0.0.2", 2, **fields), 0.1, direct=True))
 
     def test_an_outdated_limit_in_a_repeated_report_is_ignored(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 1), heartbeat("10.0.0.3", 1))
