--- a/src/egretrail/cluster/_config_chunks.py
+++ b/src/egretrail/cluster/_config_chunks.py
@@ -76,11 +76,11 @@
         """Build a configuration from chunks; raises one of ``MALFORMED`` for an invalid head."""
         unpacked = unpack_head(head)
         contents = [chunk.contents for chunk in chunks]
-        accounts = [account for one in contents for account in one.accounts]
+        accounts = [account for chunk_contents in contents for account in chunk_contents.accounts]
         config = FleetConfig(
             version=unpacked.version,
-            routes=[route for one in contents for route in one.routes],
-            services={service.name: service for one in contents for service in one.services},
+            routes=[route for chunk_contents in contents for route in chunk_contents.routes],
+            services={service.name: service for chunk_contents in contents for service in chunk_contents.services},
             limits=unpacked.limits,
             accounts=accounts if unpacked.has_accounts else None,
         )
@@ -228,7 +228,7 @@
     def keep_only(self, manifest: ConfigOutline) -> None:
         """Discard the chunks that a manifest does not name: their versions were superseded."""
         referenced = set(manifest.changed.values())
-        for digest in [one for one in self._received if one not in referenced]:
+        for digest in [digest for digest in self._received if digest not in referenced]:
             del self._received[digest]
 
     def clear(self) -> None:
@@ -261,9 +261,9 @@
     previous: ConfigChunk,
 ) -> ConfigChunk:
     contents = ChunkContents(
-        tuple(sorted(services, key=lambda one: one.name)),
-        tuple(sorted(routes, key=lambda one: (one.host, one.prefix))),
-        tuple(sorted(accounts, key=lambda one: one.name)),
+        tuple(sorted(services, key=lambda item: item.name)),
+        tuple(sorted(routes, key=lambda route: (route.host, route.prefix))),
+        tuple(sorted(accounts, key=lambda item: item.name)),
     )
     return previous if contents == previous.contents else ConfigChunk.from_contents(contents)
 
--- a/src/egretrail/cluster/_datagrams.py
+++ b/src/egretrail/cluster/_datagrams.py
@@ -227,7 +227,7 @@
 
 
 def _retry_counts_row(counts: Mapping[str, RepeatCounts]) -> dict[str, list[int]]:
-    return {service: [one.requests, one.repeats] for service, one in counts.items()}
+    return {service: [retry_counts.requests, retry_counts.repeats] for service, retry_counts in counts.items()}
 
 
 def _decode_retry_counts(row: Mapping[Any, Sequence[int]]) -> dict[str, RepeatCounts]:
--- a/src/egretrail/cluster/_hub.py
+++ b/src/egretrail/cluster/_hub.py
@@ -166,7 +166,7 @@
 
     def expire(self, now_s: float) -> Sequence[Instance]:
         """Remove and return the members whose last heartbeat is too old."""
-        removed = [one for one in self._members.values() if now_s - one.received_s > _MEMBER_TIMEOUT_S]
+        removed = [member for member in self._members.values() if now_s - member.received_s > _MEMBER_TIMEOUT_S]
         for member in removed:
             del self._members[member.heartbeat.origin]
             self._free_indexes.append((member.ack_index, now_s))
@@ -397,13 +397,13 @@
             members = members[:_ROSTER_CROSS_ZONE_MAX]
         total = -(-len(members) // _ROSTER_SLICE_ROWS) or 1
         for index in range(total):
-            in_slice = [one for one in members if address_part(one.heartbeat.origin, total) == index]
+            in_slice = [member for member in members if address_part(member.heartbeat.origin, total) == index]
             roster = RosterSlice(
                 index,
                 total,
                 complete,
-                [one.heartbeat.instance() for one in in_slice],
-                [one.ack_index for one in in_slice],
+                [member.heartbeat.instance() for member in in_slice],
+                [member.ack_index for member in in_slice],
             )
             yield self._section(scope, state, roster=roster)
 
--- a/src/egretrail/cluster/_hub_reports.py
+++ b/src/egretrail/cluster/_hub_reports.py
@@ -54,7 +54,7 @@
     def current_limits(self, now_s: float) -> Sequence[LimitReport]:
         """Return the limits to send now, and discard the expired ones."""
         ages_s = {key: now_s - limit.advertised_s for key, limit in self._limits.items()}
-        for key in [one for one, age_s in ages_s.items() if age_s > _LIMIT_REMEMBERED_S]:
+        for key in [key for key, age_s in ages_s.items() if age_s > _LIMIT_REMEMBERED_S]:
             del self._limits[key]
         current = [
             LimitReport(key, limit.limit_per_s, max(ages_s[key], 0.0))
@@ -70,7 +70,7 @@
     def current_losses(self, now_s: float) -> Sequence[LossReport]:
         """Return the losses to send now, and discard the expired ones."""
         for loss in [
-            one for one, at_s in self._losses.items() if now_s - at_s > _LOSS_REMEMBERED_S
+            loss for loss, at_s in self._losses.items() if now_s - at_s > _LOSS_REMEMBERED_S
         ]:
             del self._losses[loss]
         current = [loss for loss, at_s in self._losses.items() if now_s - at_s <= _LOSS_SEND_S]
@@ -78,7 +78,7 @@
 
     def current_drops(self, now_s: float) -> Sequence[DropReport]:
         """Return the reports of dropped upstreams to send now, and discard the expired ones."""
-        for drop in [one for one, at_s in self._drops.items() if now_s - at_s > _DROP_SEND_S]:
+        for drop in [drop for drop, at_s in self._drops.items() if now_s - at_s > _DROP_SEND_S]:
             del self._drops[drop]
         return list(self._drops)[:_SECTION_REPORTS_MAX]
 
--- a/src/egretrail/cluster/_membership.py
+++ b/src/egretrail/cluster/_membership.py
@@ -99,7 +99,7 @@
 
     def expire(self, now_s: float) -> Sequence[Instance]:
         """Remove and return the instances whose deadline has passed."""
-        removed = [one for one in self._entries.values() if self._deadline_s(one) <= now_s]
+        removed = [entry for entry in self._entries.values() if self._deadline_s(entry) <= now_s]
         for entry in removed:
             self._remove(entry.instance, now_s)
         return [entry.instance for entry in removed]
@@ -149,7 +149,7 @@
 
     def zones(self) -> set[str]:
         """Return the zones of all living instances, including the own zone."""
-        return {one.instance.availability_zone for one in self._entries.values()} | {self._zone}
+        return {entry.instance.availability_zone for entry in self._entries.values()} | {self._zone}
 
     def order(self, availability_zone: str) -> Sequence[str]:
         """Return the hub order of a zone: the hub first, then its successors."""
--- a/src/egretrail/cluster/_outgoing_reports.py
+++ b/src/egretrail/cluster/_outgoing_reports.py
@@ -61,7 +61,7 @@
             self._losses.popleft()
         while self._dropped and self._dropped[0][0] < now_s - _DROP_SEND_S:
             self._dropped.popleft()
-        for key in [one for one, (at_s, _) in self._limits.items() if at_s < now_s - _LIMIT_SEND_S]:
+        for key in [key for key, (at_s, _) in self._limits.items() if at_s < now_s - _LIMIT_SEND_S]:
             del self._limits[key]
 
     def findings(self) -> Sequence[Finding]:
--- a/src/egretrail/cluster/_section.py
+++ b/src/egretrail/cluster/_section.py
@@ -1,6 +1,6 @@
 """The section, the periodic summary message of a zone's hub.
 
-A section contains aggregates of the zone instead of the reports of each instance. Load balancing
+A section contains aggregates of the zone instead of the reports of each instance. Placement
 needs the number of requests in flight at each upstream, and not their senders. The data that an
 instance receives therefore grows with the upstreams and failures, and not with the instances. Rows
 are parallel sequences of numbers, which are decoded in bulk without an object for each row.
--- a/src/egretrail/cluster/_section_codec.py
+++ b/src/egretrail/cluster/_section_codec.py
@@ -61,12 +61,12 @@
     return b"".join(
         _INSTANCE.pack(
             places[number] if places else 0,
-            address_number(one.address),
-            one.incarnation,
-            one.state,
-            min(round(one.capacity / _CAPACITY_STEP), _BYTE_MAX),
+            address_number(instance.address),
+            instance.incarnation,
+            instance.state,
+            min(round(instance.capacity / _CAPACITY_STEP), _BYTE_MAX),
         )
-        for number, one in enumerate(instances)
+        for number, instance in enumerate(instances)
     )
 
 
@@ -108,7 +108,7 @@
             _encode_outcomes(section.findings),
             [[loss.digest, loss.upstream_key] for loss in section.losses],
             [[drop.upstream_id, drop.revision] for drop in section.dropped],
-            {name: [one.requests, one.repeats] for name, one in section.repeats.items()},
+            {name: [counts.requests, counts.repeats] for name, counts in section.repeats.items()},
             _encode_roster(section.roster),
             encode_limits(section.limits),
             encode_freshness_age(section.config_proof_age_s),
@@ -155,12 +155,12 @@
     return b"".join(
         _ACCOUNT.pack(
             key,
-            one.total.asked,
-            one.total.sent,
-            min(one.recent.asked, _SHORT_MAX),
-            min(one.recent.sent, _SHORT_MAX),
+            report.total.asked,
+            report.total.sent,
+            min(report.recent.asked, _SHORT_MAX),
+            min(report.recent.sent, _SHORT_MAX),
         )
-        for key, one in reports.items()
+        for key, report in reports.items()
     )
 
 
@@ -195,7 +195,7 @@
 
 def encode_limits(limits: Iterable[LimitReport]) -> list[list[Any]]:
     """Return the rows of limits: upstream key, requests a second or None, age in milliseconds."""
-    return [[one.upstream_key, one.limit_per_s, round(one.age_s * 1000)] for one in limits]
+    return [[limit.upstream_key, limit.limit_per_s, round(limit.age_s * 1000)] for limit in limits]
 
 
 def decode_limits(rows: Iterable[Sequence[Any]]) -> Sequence[LimitReport]:
@@ -298,12 +298,12 @@
 def _encode_outcomes(reports: Iterable[Finding]) -> bytes:
     return b"".join(
         _OUTCOME.pack(
-            one.upstream_key,
-            one.outcome,
-            min(max(round(one.duration_s * 1000), 0), _SHORT_MAX),
-            address_number(one.observer),
+            report.upstream_key,
+            report.outcome,
+            min(max(round(report.duration_s * 1000), 0), _SHORT_MAX),
+            address_number(report.observer),
         )
-        for one in reports
+        for report in reports
     )
 
 
