--- a/src/egretrail/gateway/__init__.py
+++ b/src/egretrail/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""The gateway: one process on each instance that takes callers' requests and places them.
+"""The gateway: one process on each instance that forwards clients' requests to upstreams.
 
-It differs from ``egretraild`` in what it rests on: client attempts carry their own ids, and
-instances, upstreams and configuration are listed in one key-value store.
+Unlike ``egretraild`` the gateway gets the ids of client attempts from the clients, and reads the
+instances, the upstreams and the configuration from one key-value store.
 """
 
 from egretrail.gateway._interfaces import (
--- a/src/egretrail/gateway/_attempts.py
+++ b/src/egretrail/gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""Sends a request to one upstream and judges what comes back."""
+"""Sends a request to one upstream and interprets the response."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 from egretrail.gateway._interfaces import AnswerKind, RequestContract
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
+from egretrail.gateway._pending_request import AttemptResult, Disposition, PendingRequest
 from egretrail.gateway._pool import UpstreamPool
 from egretrail.gateway._view import FleetView
-from egretrail.gateway._work import AttemptResult, Fate, Work
 from egretrail.http1 import (
     ConnectFailed,
     ExchangeBroken,
@@ -20,16 +20,16 @@
 )
 from egretrail.traffic import UpstreamRecord
 
-#: An upstream is told this much less than is left: the way of the answer back.
-_RETURN_S = 0.01
-#: A request that takes this many times the usual duration speaks against its upstream; one in a
-#: hundred of ordinary work does.
+#: Subtracted from the remaining time that is sent to an upstream: the response's time in transit.
+_RESPONSE_TRANSIT_S = 0.01
+#: A request that takes this many times the typical duration counts as overdue, which is evidence
+#: against its upstream. One in a hundred normal requests takes that long.
 _OVERDUE_FACTOR = 4.0
 _OVERDUE_MIN_S = 0.8
 
 
 class AttemptRunner:
-    """Runs single attempts. Each outcome is observed, for this instance and the others."""
+    """Runs single attempts and records each outcome for this instance and its peers."""
 
     def __init__(
         self,
@@ -46,102 +46,110 @@
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
-    async def run(self, work: Work, upstream: UpstreamRecord) -> AttemptResult:
-        """Send a request to an upstream and say what became of it; cancelled to give it up."""
+    async def run(self, pending: PendingRequest, upstream: UpstreamRecord) -> AttemptResult:
+        """Send a request to an upstream and return the result; cancel to abandon the attempt."""
         upstream_id = upstream.id
         started_s = self._loop.time()
         try:
             connection = await self._pool.acquire(upstream_id, upstream.address)
         except ConnectFailed as error:
-            self._observe(upstream_id, Outcome.UNREACHABLE, started_s)
-            return AttemptResult(Fate.UNREACHABLE, cause=str(error))
+            self._record_outcome(upstream_id, Outcome.UNREACHABLE, started_s)
+            return AttemptResult(Disposition.UNREACHABLE, cause=str(error))
         if not self._view.upstreams.takes_work(upstream_id):
             self._pool.release(upstream_id, connection)
-            return AttemptResult(Fate.LEAVING, cause="the upstream leaves")
+            return AttemptResult(
+                Disposition.DRAINING, cause="upstream is draining; nothing was sent"
+            )
         started_s = self._loop.time()
-        left_s = work.end_s - started_s - _RETURN_S
-        request = work.request
-        account = work.account.name if work.account is not None else None
+        left_s = pending.deadline_s - started_s - _RESPONSE_TRANSIT_S
+        request = pending.request
+        account = pending.account.name if pending.account is not None else None
         data = encode_request(
             request.method,
             request.target,
             self._contract.upstream_headers(request, upstream.name, left_s, account),
             request.body,
         )
-        expected_s = self._expected_s(work.service, upstream)
+        expected_s = self._expected_duration_s(pending.service, upstream)
         overdue = self._loop.call_later(
             max(expected_s * _OVERDUE_FACTOR, _OVERDUE_MIN_S),
-            self._observe,
+            self._record_outcome,
             upstream_id,
             Outcome.OVERDUE,
             started_s,
         )
-        self._count_across(upstream, "requests", len(data))
+        self._count_cross_zone_bytes(upstream, "requests", len(data))
         try:
             received = await connection.exchange(
                 data,
-                lambda answer: self._contract.belongs(answer, work.terms.attempt_id),
+                lambda response: self._contract.belongs(response, pending.metadata.attempt_id),
                 without_body=request.method == b"HEAD",
             )
         except ExchangeFailed as error:
-            silent = isinstance(error, ExchangeBroken) and error.silent
-            outcome = Outcome.SILENT if silent else Outcome.BROKEN
-            self._observe(upstream_id, outcome, started_s, work.digest)
-            return AttemptResult(Fate.FAILED, cause=str(error))
+            path_failed = isinstance(error, ExchangeBroken) and error.path_failed
+            outcome = Outcome.SILENT if path_failed else Outcome.BROKEN
+            self._record_outcome(upstream_id, outcome, started_s, pending.digest)
+            return AttemptResult(Disposition.FAILED, cause=str(error))
         finally:
             overdue.cancel()
         self._pool.release(upstream_id, connection)
-        self._count_across(upstream, "answers", len(received.body))
-        return self._judge(work, upstream_id, received, started_s)
+        self._count_cross_zone_bytes(upstream, "answers", len(received.body))
+        return self._interpret(pending, upstream_id, received, started_s)
 
-    def _judge(
-        self, work: Work, upstream_id: str, received: ReceivedAnswer, started_s: float
+    def _interpret(
+        self, pending: PendingRequest, upstream_id: str, received: ReceivedAnswer, started_s: float
     ) -> AttemptResult:
         now_s = self._loop.time()
         load = self._contract.reported_load(received)
         if load is not None:
             self._view.load.report(upstream_id, max(load.running + load.waiting - 1, 0), now_s)
-        kind = self._contract.kind(received)
-        if kind not in (AnswerKind.WRONG_UPSTREAM, AnswerKind.INVALID):
-            self._note_limit(upstream_id, received)
-        if kind is AnswerKind.SERVED:
-            self._observe(upstream_id, Outcome.SUCCESS, started_s)
-            self._view.crashers.answered(work.digest)
-            return AttemptResult(Fate.SERVED, received)
-        if kind is AnswerKind.NOT_RUN:
-            self._observe(upstream_id, Outcome.SHED, started_s)
-            return AttemptResult(Fate.NOT_RUN, received, "refused by the upstream")
-        if kind is AnswerKind.WRONG_UPSTREAM:
+        response_kind = self._contract.kind(received)
+        if response_kind not in (AnswerKind.WRONG_UPSTREAM, AnswerKind.INVALID):
+            self._record_advertised_limit(upstream_id, received)
+        if response_kind is AnswerKind.SERVED:
+            self._record_outcome(upstream_id, Outcome.SUCCESS, started_s)
+            self._view.crashers.answered(pending.digest)
+            return AttemptResult(Disposition.SERVED, received)
+        if response_kind is AnswerKind.NOT_RUN:
+            self._record_outcome(upstream_id, Outcome.SHED, started_s)
+            return AttemptResult(
+                Disposition.NOT_RUN, received, "refused by the upstream without running"
+            )
+        if response_kind is AnswerKind.WRONG_UPSTREAM:
             self._view.upstreams.mark_gone(upstream_id)
             self._log.event("upstream_replaced", upstream=upstream_id)
-            return AttemptResult(Fate.NOT_RUN, received, "another upstream has the address")
-        if kind is AnswerKind.EXPIRED:
-            self._observe(upstream_id, Outcome.EXPIRED, started_s)
-            return AttemptResult(Fate.FAILED, received, "the request's time ended")
-        self._observe(upstream_id, Outcome.FAILED, started_s)
-        if kind is AnswerKind.INVALID:
-            return AttemptResult(Fate.FAILED, None, "no valid answer")
-        return AttemptResult(Fate.FAILED, received, "the upstream failed")
+            return AttemptResult(Disposition.NOT_RUN, received, "another upstream uses the address")
+        if response_kind is AnswerKind.EXPIRED:
+            self._record_outcome(upstream_id, Outcome.EXPIRED, started_s)
+            return AttemptResult(
+                Disposition.FAILED, received, "the request's deadline passed at the upstream"
+            )
+        self._record_outcome(upstream_id, Outcome.FAILED, started_s)
+        if response_kind is AnswerKind.INVALID:
+            return AttemptResult(Disposition.FAILED, None, "not a valid response of an upstream")
+        return AttemptResult(Disposition.FAILED, received, "the upstream failed")
 
-    def _note_limit(self, upstream_id: str, received: ReceivedAnswer) -> None:
-        named = self._contract.named_limit(received)
-        if isinstance(named, Err):
-            # What it named before stays in force: the upstream is in need of something.
-            self._log.event("limit_refused", upstream=upstream_id, cause=named.err_value)
+    def _record_advertised_limit(self, upstream_id: str, received: ReceivedAnswer) -> None:
+        advertised = self._contract.named_limit(received)
+        if isinstance(advertised, Err):
+            # The limit that was advertised before stays in force, to protect the upstream.
+            self._log.event("limit_refused", upstream=upstream_id, cause=advertised.err_value)
             return
-        self._view.named_limit(upstream_id, named.ok_value)
+        self._view.named_limit(upstream_id, advertised.ok_value)
 
-    def _count_across(self, upstream: UpstreamRecord, kind: str, size_bytes: int) -> None:
+    def _count_cross_zone_bytes(
+        self, upstream: UpstreamRecord, direction: str, size_bytes: int
+    ) -> None:
         if upstream.availability_zone != self._view.placement.availability_zone:
-            self._metrics.crossed(kind, size_bytes)
+            self._metrics.count_cross_zone_bytes(direction, size_bytes)
 
-    def _expected_s(self, service: str, upstream: UpstreamRecord) -> float:
-        """Return how long a request usually takes, with the wait for a slot that it begins with."""
-        under_way = self._view.load.in_flight(upstream.id, self._loop.time())
-        waiting = max(under_way - upstream.slots, 0) / upstream.slots
-        return self._view.durations.mean_s(service) * (1.0 + waiting)
+    def _expected_duration_s(self, service: str, upstream: UpstreamRecord) -> float:
+        """Return the typical duration of a request, with its wait for a slot of the upstream."""
+        in_flight_count = self._view.load.in_flight(upstream.id, self._loop.time())
+        queue_rounds = max(in_flight_count - upstream.slots, 0) / upstream.slots
+        return self._view.durations.mean_s(service) * (1.0 + queue_rounds)
 
-    def _observe(
+    def _record_outcome(
         self,
         upstream_id: str,
         outcome: Outcome,
--- a/src/egretrail/gateway/_directory.py
+++ b/src/egretrail/gateway/_directory.py
@@ -1,37 +1,38 @@
-"""Which addresses a caller is told to use."""
+"""Selects the instance addresses that the directory returns to a client."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from egretrail.cluster import InstanceState
 
-#: Callers keep an answer for this long, some three times as long: an instance that stops is
-#: forgotten by all within 4.5 s, before the usual grace of 6 s ends.
+#: How long clients may cache a directory response; some keep it three times as long. All clients
+#: thus drop a stopping instance within 4.5 s, before the default stop grace period of 6 s ends.
 DIRECTORY_TTL_S = 1.5
-#: A zone with fewer instances that serve shares its callers with the others.
+#: With fewer serving instances in a zone, its clients get the instances of all zones.
 _ZONE_INSTANCES_MIN = 3
-#: An answer holds no more addresses than this; callers use no more.
+#: The largest number of addresses in a response; clients use no more.
 _ADDRESSES_MAX = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An instance that callers may be sent to."""
+    """An instance that may be returned to clients."""
 
-    #: Where it takes callers' requests.
+    #: Where the instance accepts clients' requests, ``IP:PORT``.
     traffic_address: str
     #: Its availability zone.
     availability_zone: str
-    #: Whether it serves.
+    #: Its state; only READY instances are returned.
     state: InstanceState
 
 
-def directory_addresses(candidates: Sequence[Candidate], caller_zone: str) -> Sequence[str]:
-    """Return the addresses for a caller of a zone: its own zone's, where enough serve there.
+def directory_addresses(candidates: Sequence[Candidate], client_zone: str) -> Sequence[str]:
+    """Return the addresses for a client of a zone: those of its own zone if enough serve there.
 
-    Inside a zone a request takes a tenth of the time on the way and costs no bytes between zones.
+    Within a zone the network latency is a tenth of that between zones, and no cross-zone traffic
+    arises.
     """
-    serving = [one for one in candidates if one.state is InstanceState.READY]
-    near = [one for one in serving if one.availability_zone == caller_zone]
-    chosen = near if len(near) >= _ZONE_INSTANCES_MIN else serving
-    return sorted(one.traffic_address for one in chosen)[:_ADDRESSES_MAX]
+    serving = [candidate for candidate in candidates if candidate.state is InstanceState.READY]
+    in_zone = [candidate for candidate in serving if candidate.availability_zone == client_zone]
+    chosen = in_zone if len(in_zone) >= _ZONE_INSTANCES_MIN else serving
+    return sorted(candidate.traffic_address for candidate in chosen)[:_ADDRESSES_MAX]
--- a/src/egretrail/gateway/_executor.py
+++ b/src/egretrail/gateway/_executor.py
@@ -1,4 +1,4 @@
-"""Carries one request of a client to its final answer."""
+"""Runs client requests: admission, attempts, retries and the final response."""
 
 import asyncio
 import contextlib
@@ -9,44 +9,44 @@
 from egretrail.gateway._interfaces import CallerTerms, RequestContract
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
-from egretrail.gateway._pool import UpstreamPool
+from egretrail.gateway._pending_request import UNSENT, AttemptResult, Disposition, PendingRequest
+from egretrail.gateway._pool import UpstreamConnectionPool
 from egretrail.gateway._view import FleetView
-from egretrail.gateway._work import UNSENT, AttemptResult, Fate, Work
 from egretrail.http1 import Answer, Request
 from egretrail.traffic import Route, choose_service, request_priority
 
-#: The time of a client that does not say how long it waits.
+#: The time-out of a request whose client does not say how long it waits.
 _DEFAULT_WAIT_S = 30.0
-#: An idempotent request is sent to a second upstream when it takes this many times the usual
-#: duration: with the spread of ordinary work, one request in twenty does.
+#: An idempotent request is hedged (sent to a second upstream as well) when it takes this many times
+#: the typical duration. With the normal spread of durations, one request in twenty does.
 _HEDGE_FACTOR = 2.2
 _HEDGE_MIN_S = 0.2
-#: Upstreams that could not be reached are left out, up to this number for one request.
-_UNREACHABLE_MAX = 3
-#: How long a request waits for an instance that has just started to know the configuration; it
-#: takes 0.3 s where the store or any peer can be reached.
-_START_WAIT_S = 0.6
-#: When an instance that knows no configuration expects to know it.
+#: A request is not retried after more than this many attempts that could not send anything.
+_UNSENT_MAX = 3
+#: How long a request waits for the configuration at an instance that has just started. Loading the
+#: configuration takes 0.3 s where the store or a peer can be reached.
+_START_CONFIG_WAIT_S = 0.6
+#: Retry-After of an instance without a configuration: when it expects to have one.
 _STARTING_RETRY_S = 0.3
-#: An instance that has just started waits so long for the proof that its keys are in force.
-_PROOF_PATIENCE_S = 2.0
-#: When an instance that has lost the proof expects to have it again, or callers to have gone to
-#: another one.
-_UNPROVED_RETRY_S = 0.5
-#: When an instance that has heard of a newer configuration expects to have it.
+#: For this long after the start, requests wait until the configuration is confirmed as current.
+_START_FRESHNESS_WAIT_S = 2.0
+#: Retry-After of an instance that cannot accept API keys since its configuration is not confirmed
+#: as current. By then it is confirmed again, or clients use another instance.
+_UNCONFIRMED_RETRY_S = 0.5
+#: Retry-After of an instance that may lack the newest configuration: when it expects to have it.
 _CONFIG_RETRY_S = 0.25
-#: A request that crashes upstreams is refused for good; it is told to stay away for long.
+#: Retry-After of a request that crashes upstreams. It stays refused, so the time is long.
 _CRASHING_RETRY_S = 30.0
 
 
-class Executor:
-    """Runs requests: each at most once where its route says so, and repeated within limits else."""
+class RequestExecutor:
+    """Runs requests: at most once where the route requires that, else retried within limits."""
 
     def __init__(
         self,
         view: FleetView,
         contract: RequestContract,
-        pool: UpstreamPool,
+        pool: UpstreamConnectionPool,
         log: EventLog,
         metrics: GatewayMetrics,
         rng: random.Random,
@@ -54,7 +54,7 @@
         self._view = view
         self._contract = contract
         self._pool = pool
-        self._attempts = AttemptRunner(view, contract, pool, log, metrics)
+        self._attempt_runner = AttemptRunner(view, contract, pool, log, metrics)
         self._log = log
         self._metrics = metrics
         self._rng = rng
@@ -62,200 +62,214 @@
         self._started_s = self._loop.time()
 
     async def serve(self, request: Request) -> Answer:
-        """Return the final answer to a request; cancelled when the client leaves."""
+        """Return the final response to a request; cancelled when the client disconnects."""
         started_s = self._loop.time()
-        terms = self._contract.caller_terms(request)
-        await self._wait_for_start()
-        work = self._admit(request, terms)
-        if isinstance(work, Answer):
-            return work
+        metadata = self._contract.caller_terms(request)
+        await self._wait_for_config()
+        pending = self._admit(request, metadata)
+        if isinstance(pending, Answer):
+            return pending
         try:
-            answer, outcome = await self._run(work)
+            response, outcome = await self._run_attempts(pending)
         except asyncio.CancelledError:
-            self._finished(work, "client_left", 0, started_s)
+            self._record_finish(pending, "client_left", 0, started_s)
             raise
-        self._finished(work, outcome, answer.status, started_s)
-        return answer
+        self._record_finish(pending, outcome, response.status, started_s)
+        return response
 
-    async def _wait_for_start(self) -> None:
-        """Wait for the configuration, which peers tell within moments of the process's start.
+    async def _wait_for_config(self) -> None:
+        """Wait for the configuration, which arrives from peers shortly after the process starts.
 
-        Load: callers keep the address of an instance that was killed and come back at once. After
-        many restarts at the same time each of their requests would be refused.
+        Clients keep the address of an instance that was killed and reconnect as soon as it is back.
+        Without the wait, all their requests would be refused after many instances restart at once.
         """
         view = self._view
-        if view.serving.is_set() and not self._awaits_proof():
+        if view.serving.is_set() and not self._awaits_freshness():
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_START_WAIT_S):
+            async with asyncio.timeout(_START_CONFIG_WAIT_S):
                 await view.serving.wait()
-                if self._awaits_proof():
+                if self._awaits_freshness():
                     await view.proved.wait()
 
-    def _awaits_proof(self) -> bool:
+    def _awaits_freshness(self) -> bool:
         view = self._view
-        is_new = self._loop.time() - self._started_s < _PROOF_PATIENCE_S
-        return view.needs_proof and is_new and not view.proved.is_set()
+        has_just_started = self._loop.time() - self._started_s < _START_FRESHNESS_WAIT_S
+        return view.needs_proof and has_just_started and not view.proved.is_set()
 
-    def _admit(self, request: Request, terms: CallerTerms) -> Work | Answer:
+    def _admit(self, request: Request, metadata: CallerTerms) -> PendingRequest | Answer:
         view = self._view
         if view.configs.routes is None or view.upstreams.revision == 0:
-            self._refused(terms, "", "starting", _STARTING_RETRY_S)
+            self._record_refusal(metadata, "", "starting", _STARTING_RETRY_S)
             return self._contract.not_run(_STARTING_RETRY_S)
         path = request.target.partition(b"?")[0].decode("latin-1")
-        route = view.configs.routes.find(terms.host, path)
+        route = view.configs.routes.find(metadata.host, path)
         if route is None and not view.knows_config_is_current:
-            self._refused(terms, "", "config_behind", _CONFIG_RETRY_S)
+            self._record_refusal(metadata, "", "config_behind", _CONFIG_RETRY_S)
             return self._contract.not_run(_CONFIG_RETRY_S)
         if route is None:
             version = view.config_version
             self._log.event(
-                "no_route", id=terms.attempt_id, host=terms.host, path=path, config_version=version
+                "no_route",
+                id=metadata.attempt_id,
+                host=metadata.host,
+                path=path,
+                config_version=version,
             )
             self._metrics.answered("none", "no_route", 0.0)
             return Answer(404)
         account = None
         if view.configs.accounts is not None and not route.is_public:
-            account = view.configs.accounts.find(terms.api_key) if terms.api_key else None
+            account = view.configs.accounts.find(metadata.api_key) if metadata.api_key else None
             if account is None:
-                return self._without_account(terms, route)
+                return self._reject_api_key(metadata, route)
             if not view.takes_keys:
-                self._refused(
-                    terms,
+                self._record_refusal(
+                    metadata,
                     route.name,
                     "key_unproved",
-                    _UNPROVED_RETRY_S,
+                    _UNCONFIRMED_RETRY_S,
                     account=account.name,
                     proof_age_s=view.proof.age_s,
                 )
-                return self._contract.not_run(_UNPROVED_RETRY_S)
-            over = view.admit_to_quota(account)
-            if over is not None:
-                self._refused(
-                    terms,
+                return self._contract.not_run(_UNCONFIRMED_RETRY_S)
+            excess = view.admit_to_quota(account)
+            if excess is not None:
+                self._record_refusal(
+                    metadata,
                     route.name,
                     "over_quota",
-                    over.retry_after_s,
+                    excess.retry_after_s,
                     account=account.name,
-                    room=over.room,
-                    demand_per_s=over.demand_per_s,
+                    room=excess.room,
+                    demand_per_s=excess.demand_per_s,
                 )
-                return self._contract.over_quota(over.retry_after_s)
+                return self._contract.over_quota(excess.retry_after_s)
         service = choose_service(route, self._rng)
         now_s = self._loop.time()
         view.repeats.routed(service, now_s)
-        digest = request_digest((request.method, terms.host.encode(), request.target, request.body))
+        digest = request_digest(
+            (request.method, metadata.host.encode(), request.target, request.body)
+        )
         if view.crashers.refuses(digest, now_s):
-            self._refused(terms, route.name, "crashes_upstreams", _CRASHING_RETRY_S)
+            self._record_refusal(metadata, route.name, "crashes_upstreams", _CRASHING_RETRY_S)
             return self._contract.not_run(_CRASHING_RETRY_S)
-        wait_s = terms.wait_s if terms.wait_s is not None else _DEFAULT_WAIT_S
-        end_s = request.received_s + min(wait_s, route.timeout_s)
-        return Work(request, terms, route, service, account, digest, end_s)
+        wait_s = metadata.wait_s if metadata.wait_s is not None else _DEFAULT_WAIT_S
+        deadline_s = request.received_s + min(wait_s, route.timeout_s)
+        return PendingRequest(request, metadata, route, service, account, digest, deadline_s)
 
-    def _without_account(self, terms: CallerTerms, route: Route) -> Answer:
-        """Answer a request whose API key no account holds, and which therefore never runs.
+    def _reject_api_key(self, metadata: CallerTerms, route: Route) -> Answer:
+        """Return the response to a request whose API key belongs to no account; it never runs.
 
-        401 is final to callers: an instance that may lack the newest version must not give it.
+        Clients treat 401 as final. An instance whose configuration may not be the newest must
+        therefore not give it.
         """
         view = self._view
         if not view.knows_config_is_current:
-            self._refused(terms, route.name, "config_behind", _CONFIG_RETRY_S)
+            self._record_refusal(metadata, route.name, "config_behind", _CONFIG_RETRY_S)
             return self._contract.not_run(_CONFIG_RETRY_S)
         self._log.event(
             "key_refused",
-            id=terms.attempt_id,
+            id=metadata.attempt_id,
             route=route.name,
-            reason="unknown" if terms.api_key else "missing",
+            reason="unknown" if metadata.api_key else "missing",
             config_version=view.config_version,
         )
         self._metrics.answered(route.name, "key_refused", 0.0)
         return Answer(401)
 
-    async def _run(self, work: Work) -> tuple[Answer, str]:
+    async def _run_attempts(self, pending: PendingRequest) -> tuple[Answer, str]:
         running: dict[asyncio.Task[AttemptResult], Choice] = {}
         try:
-            refusal = self._send(work, running)
+            refusal = self._start_attempt(pending, running)
             while running:
-                await self._wait(work, running)
+                await self._wait_for_attempts(pending, running)
                 for task in [task for task in running if task.done()]:
                     choice = running.pop(task)
                     result = task.result()
-                    if result.fate is Fate.SERVED and result.received is not None:
-                        self._view.sizes.observe(work.route.name, len(result.received.body))
+                    if result.disposition is Disposition.SERVED and result.received is not None:
+                        self._view.sizes.observe(pending.route.name, len(result.received.body))
                         return self._contract.answer(result.received), "served"
-                    self._note(work, choice, result)
-                    if self._may_send_again(work, result):
-                        refusal = self._send(work, running) or refusal
-                if self._loop.time() >= work.end_s:
+                    self._record_failed_attempt(pending, choice, result)
+                    if self._may_retry_after(pending, result):
+                        refusal = self._start_attempt(pending, running) or refusal
+                if self._loop.time() >= pending.deadline_s:
                     break
-            return self._unserved(work, bool(running), refusal)
+            return self._failure_response(pending, bool(running), refusal)
         finally:
             for task in running:
                 task.cancel()
 
-    async def _wait(self, work: Work, running: dict[asyncio.Task[AttemptResult], Choice]) -> None:
-        """Wait for an attempt to end, the answer's time to pass, or a second upstream's turn."""
+    async def _wait_for_attempts(
+        self, pending: PendingRequest, running: dict[asyncio.Task[AttemptResult], Choice]
+    ) -> None:
+        """Wait until an attempt ends, the deadline passes or the request is due for hedging."""
         now_s = self._loop.time()
-        left_s = work.end_s - now_s
-        hedge_s = self._hedge_delay_s(work) if len(running) == 1 else None
+        left_s = pending.deadline_s - now_s
+        hedge_s = self._hedge_delay_s(pending) if len(running) == 1 else None
         timeout_s = left_s if hedge_s is None else min(left_s, hedge_s)
         done, _ = await asyncio.wait(
             running, timeout=max(timeout_s, 0.0), return_when=asyncio.FIRST_COMPLETED
         )
         if done or hedge_s is None or hedge_s >= left_s:
             return
-        work.hedged = True
-        if self._may_repeat(work):
-            self._send(work, running, spare_only=True)
+        pending.is_hedge_decided = True
+        if self._may_retry(pending):
+            self._start_attempt(pending, running, spare_only=True)
 
-    def _hedge_delay_s(self, work: Work) -> float | None:
-        if not work.repeatable or work.sends != 1 or work.hedged or work.route.max_attempts < 2:
+    def _hedge_delay_s(self, pending: PendingRequest) -> float | None:
+        if (
+            not pending.is_retryable
+            or pending.send_count != 1
+            or pending.is_hedge_decided
+            or pending.route.max_attempts < 2
+        ):
             return None
-        return max(self._view.durations.mean_s(work.service) * _HEDGE_FACTOR, _HEDGE_MIN_S)
+        return max(self._view.durations.mean_s(pending.service) * _HEDGE_FACTOR, _HEDGE_MIN_S)
 
-    def _send(
+    def _start_attempt(
         self,
-        work: Work,
+        pending: PendingRequest,
         running: dict[asyncio.Task[AttemptResult], Choice],
         *,
         spare_only: bool = False,
     ) -> Refusal | None:
-        """Begin one more attempt; return why there is none.
+        """Start an attempt; return the refusal if no upstream can be chosen.
 
-        Load: with all slots taken, second copies of slow requests make every request slower. A copy
-        therefore takes only room that is free.
+        With all slots occupied, hedging slow requests would slow down every request. A hedge is
+        therefore sent only to an upstream with a free slot (``spare_only``).
         """
         now_s = self._loop.time()
         query = PlacementQuery(
-            service=work.service,
-            left_s=work.end_s - now_s,
-            worth_s=work.request.received_s + work.route.objective_s - now_s,
-            repeatable=work.repeatable and work.sends + 1 < work.route.max_attempts,
-            urgent_objective_s=self._urgent_objective_s(work),
-            answer_bytes=self._view.sizes.mean_bytes(work.route.name),
+            service=pending.service,
+            left_s=pending.deadline_s - now_s,
+            worth_s=pending.request.received_s + pending.route.objective_s - now_s,
+            repeatable=pending.is_retryable and pending.send_count + 1 < pending.route.max_attempts,
+            urgent_objective_s=self._urgent_objective_s(pending),
+            answer_bytes=self._view.sizes.mean_bytes(pending.route.name),
             spare_only=spare_only,
-            excluded=work.tried,
-            connected=self._pool.connected(),
+            excluded=pending.tried,
+            connected=self._pool.idle_upstreams(),
         )
-        ready = self._view.upstreams.ready(work.service)
+        ready = self._view.upstreams.ready(pending.service)
         choice = self._view.placement.choose(query, ready, now_s)
         if isinstance(choice, Refusal):
             return choice
-        if work.sends > 0:
-            self._view.repeats.repeated(work.service, now_s)
-        if work.account is not None and not work.is_charged:
-            work.is_charged = True
-            self._view.quotas.sent(work.account, now_s)
-        work.tried.append(choice.upstream.id)
-        work.sends += 1
+        if pending.send_count > 0:
+            self._view.repeats.repeated(pending.service, now_s)
+        if pending.account is not None and not pending.is_charged:
+            pending.is_charged = True
+            self._view.quotas.sent(pending.account, now_s)
+        pending.tried.append(choice.upstream.id)
+        pending.send_count += 1
         self._log.event(
             "attempt",
-            id=work.terms.attempt_id,
-            route=work.route.name,
-            service=work.service,
+            id=pending.metadata.attempt_id,
+            route=pending.route.name,
+            service=pending.service,
             upstream=choice.upstream.id,
             zone=choice.upstream.availability_zone,
-            number=work.sends,
+            number=pending.send_count,
             in_flight=choice.in_flight,
             slots=choice.upstream.slots,
             considered=choice.considered,
@@ -264,105 +278,111 @@
             upstreams_revision=self._view.upstreams.revision,
         )
         self._view.begin(choice.upstream.id, trial=choice.trial)
-        task = self._loop.create_task(self._attempts.run(work, choice.upstream))
-        # A task that is cancelled before its first step runs none of its own code.
+        task = self._loop.create_task(self._attempt_runner.run(pending, choice.upstream))
+        # A callback, since a task that is cancelled before its first step runs none of its code.
         task.add_done_callback(lambda _: self._view.end(choice.upstream.id))
         running[task] = choice
         return None
 
-    def _urgent_objective_s(self, work: Work) -> float | None:
+    def _urgent_objective_s(self, pending: PendingRequest) -> float | None:
         urgency = self._view.configs.urgency
         if urgency is None:
             return None
-        priority = request_priority(work.route, work.account)
-        return urgency.shortest_objective_s(work.service, priority)
+        priority = request_priority(pending.route, pending.account)
+        return urgency.shortest_objective_s(pending.service, priority)
 
-    def _may_send_again(self, work: Work, result: AttemptResult) -> bool:
-        if result.fate in UNSENT:
-            return work.unreachable <= _UNREACHABLE_MAX
-        if result.fate is Fate.FAILED and not work.repeatable:
+    def _may_retry_after(self, pending: PendingRequest, result: AttemptResult) -> bool:
+        if result.disposition in UNSENT:
+            return pending.unsent_count <= _UNSENT_MAX
+        if result.disposition is Disposition.FAILED and not pending.is_retryable:
             return False
-        return self._may_repeat(work)
+        return self._may_retry(pending)
 
-    def _may_repeat(self, work: Work) -> bool:
-        if work.sends >= work.route.max_attempts:
+    def _may_retry(self, pending: PendingRequest) -> bool:
+        if pending.send_count >= pending.route.max_attempts:
             return False
-        return self._view.permits_repeat(work.service)
+        return self._view.permits_repeat(pending.service)
 
-    def _note(self, work: Work, choice: Choice, result: AttemptResult) -> None:
-        work.last_cause = result.cause
-        if result.fate is Fate.FAILED:
-            work.may_have_run = True
-            work.failure = result.received or work.failure
-        if result.fate in UNSENT:
-            work.unreachable += 1
-            # Nothing was sent, so it counts neither as an attempt nor as a repeat.
-            work.sends -= 1
+    def _record_failed_attempt(
+        self, pending: PendingRequest, choice: Choice, result: AttemptResult
+    ) -> None:
+        pending.last_cause = result.cause
+        if result.disposition is Disposition.FAILED:
+            pending.may_have_run = True
+            pending.failure_response = result.received or pending.failure_response
+        if result.disposition in UNSENT:
+            pending.unsent_count += 1
+            # Nothing was sent, so this counts neither as an attempt nor as a retry.
+            pending.send_count -= 1
         self._log.event(
             "attempt_failed",
-            id=work.terms.attempt_id,
+            id=pending.metadata.attempt_id,
             upstream=choice.upstream.id,
-            fate=result.fate.value,
+            fate=result.disposition.value,
             status=result.received.status if result.received is not None else 0,
             cause=result.cause,
         )
 
-    def _unserved(self, work: Work, under_way: bool, refusal: Refusal | None) -> tuple[Answer, str]:
-        """Return the final answer of a request that no upstream served."""
-        if not work.may_have_run and not under_way:
-            # Upstreams that refused it have room again when a part of their work has ended.
-            pause_s = self._view.placement.pause_s(work.service)
+    def _failure_response(
+        self, pending: PendingRequest, has_running_attempts: bool, refusal: Refusal | None
+    ) -> tuple[Answer, str]:
+        """Return the final response to a request that was not served, and its logged outcome."""
+        if not pending.may_have_run and not has_running_attempts:
+            # Upstreams that refused have capacity again when some of their requests have ended.
+            pause_s = self._view.placement.pause_s(pending.service)
             retry_after_s = refusal.retry_after_s if refusal is not None else pause_s
-            self._refused(
-                work.terms,
-                work.route.name,
+            self._record_refusal(
+                pending.metadata,
+                pending.route.name,
                 refusal.reason.value if refusal is not None else "not_run",
                 retry_after_s,
-                service=work.service,
-                attempts=work.sends,
+                service=pending.service,
+                attempts=pending.send_count,
                 wait_s=refusal.wait_s if refusal is not None else 0.0,
-                usual_s=self._view.durations.mean_s(work.service),
-                left_s=work.end_s - self._loop.time(),
+                usual_s=self._view.durations.mean_s(pending.service),
+                left_s=pending.deadline_s - self._loop.time(),
             )
             return self._contract.not_run(retry_after_s), "refused"
-        if work.failure is not None:
-            return self._contract.answer(work.failure), "failed"
-        if under_way:
+        if pending.failure_response is not None:
+            return self._contract.answer(pending.failure_response), "failed"
+        if has_running_attempts:
             return Answer(504), "timeout"
         return Answer(502), "broken"
 
-    def _refused(
+    def _record_refusal(
         self,
-        terms: CallerTerms,
+        metadata: CallerTerms,
         route: str,
         reason: str,
         retry_after_s: float,
-        **inputs: object,
+        **fields: object,
     ) -> None:
         self._metrics.refused(reason)
         self._log.event(
             "refused",
-            id=terms.attempt_id,
+            id=metadata.attempt_id,
             route=route,
             reason=reason,
             retry_after_s=retry_after_s,
-            **inputs,
+            **fields,
         )
 
-    def _finished(self, work: Work, outcome: str, status: int, started_s: float) -> None:
+    def _record_finish(
+        self, pending: PendingRequest, outcome: str, status: int, started_s: float
+    ) -> None:
         duration_s = self._loop.time() - started_s
-        self._metrics.answered(work.route.name, outcome, duration_s)
+        self._metrics.answered(pending.route.name, outcome, duration_s)
         version = self._view.config_version
         self._log.event(
             "answered",
-            id=work.terms.attempt_id,
+            id=pending.metadata.attempt_id,
             outcome=outcome,
             status=status,
-            attempts=work.sends,
-            unreachable=work.unreachable,
+            attempts=pending.send_count,
+            unreachable=pending.unsent_count,
             duration_s=duration_s,
-            objective_s=work.route.objective_s,
-            left_s=work.end_s - self._loop.time(),
+            objective_s=pending.route.objective_s,
+            left_s=pending.deadline_s - self._loop.time(),
             config_version=version,
-            cause=work.last_cause,
+            cause=pending.last_cause,
         )
--- a/src/egretrail/gateway/_interfaces.py
+++ b/src/egretrail/gateway/_interfaces.py
@@ -1,4 +1,4 @@
-"""What a gateway needs from the platform it runs on; implemented by ``egretrail.platform``."""
+"""What a gateway needs from its platform; implemented by ``egretrail.platform``."""
 
 import abc
 import enum
@@ -16,65 +16,66 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSettings:
-    """The settings of one gateway instance that only a start takes over.
+    """The settings of a gateway instance that are applied only at a start.
 
-    Others know the instance by them: it is listed, heard and called under them until it ends.
+    They identify the instance to its peers, to clients and in the store, so they stay the same
+    until the process ends.
     """
 
     #: The instance's name.
     name: str
-    #: The instance's address; ports are the same on all instances.
+    #: The instance's IP address; ports are the same on all instances.
     ip: str
     #: Its availability zone.
     availability_zone: str
-    #: Where callers' requests arrive, ``IP:PORT``.
+    #: Where clients' requests are accepted, ``IP:PORT``.
     traffic_address: str
-    #: Where readiness is asked for.
+    #: Where readiness probes are answered, ``IP:PORT``.
     ready_address: str
-    #: Where callers ask which addresses to use.
+    #: Where clients query the directory for instance addresses, ``IP:PORT``.
     directory_address: str
-    #: The port of the peers' protocol, over TCP and UDP.
+    #: The port of the protocol between peers, over TCP and UDP.
     peer_port: int
-    #: The port of metrics.
+    #: The port on which metrics are served.
     metrics_port: int
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings(StartSettings):
-    """All settings of one gateway instance; those named here are taken over while it runs."""
+    """All settings of a gateway instance; the fields of this class can change while it runs."""
 
-    #: Addresses of some instances that may be up, without ports.
+    #: IP addresses of instances that are contacted first; some may be down.
     seeds: Sequence[str]
-    #: The store, ``IP:PORT``.
+    #: The store's address, ``IP:PORT``.
     store_address: str
-    #: Memory that the process may use.
+    #: Memory that the process may use, in MiB.
     memory_mb: int
-    #: The share of a core times its speed; instances with more take more callers.
+    #: CPU share times relative speed of the core. Instances with more accept more clients.
     capacity: float
-    #: Time between a termination signal and the kill.
+    #: Stop grace period: the time between a termination signal and the kill.
     stop_grace_s: float
-    #: Callers keep a directory answer for at most this long.
+    #: The longest time for which clients may cache a directory response.
     directory_ttl_max_s: float
-    #: Repeats of a service's requests per request, in any window.
+    #: Retry budget: retries of a service's requests per request, in any window.
     repeat_ratio: float
-    #: The window of the repeat budget.
+    #: The window of the retry budget.
     repeat_window_s: float
-    #: Repeats that a service may have in a window beyond the ratio.
+    #: Retries that a service may have in a window in addition to the ratio.
     repeat_slack: float
-    #: Requests with an API key that has ended are refused after this time at the latest, also by an
-    #: instance that hears of nothing; None where such an instance serves on.
+    #: Requests with a revoked API key are refused at the latest after this time, also by an
+    #: instance that receives no updates; None if such an instance may go on accepting the key.
     revocation_s: float | None = None
-    #: In which time the quotas of client accounts hold, and how far they may be passed.
+    #: The window of client accounts' quotas, and how far they may be exceeded.
     quota_terms: QuotaTerms = field(default_factory=QuotaTerms)
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidDocument:
-    """A value of the store or a settings file that cannot be used."""
+    """An entry of the store or a settings file that is invalid."""
 
-    #: Which value.
+    #: The path of the entry or file.
     path: str
-    #: All faults that were found.
+    #: Descriptions of all errors that were found.
     faults: Sequence[str]
 
     def __str__(self) -> str:
@@ -82,140 +83,141 @@
 
 
 class StoreLayout(abc.ABC):
-    """Where the store keeps what gateways read, and how it is decoded."""
+    """The paths of the store's entries that gateways read, and how they are decoded."""
 
     #: The path of the configuration.
     config_path: str
     #: The prefix of the upstreams' entries.
     upstreams_prefix: str
-    #: The prefix under which gateways list themselves.
+    #: The prefix of the entries of gateway instances.
     instances_prefix: str
 
     @abc.abstractmethod
     def read_config(
         self, value: bytes
     ) -> Generator[None, None, Result[FleetConfig, InvalidDocument]]:
-        """Read the configuration in slices: other work may be done at each ``yield``.
+        """Decode the configuration in slices; other tasks may run at each ``yield``.
 
-        Load: reading 4,000 routes at once stops a weak instance for some tenths of a second.
+        Decoding 4,000 routes without a break blocks a slow instance for some tenths of a second.
         """
 
     def decode_config(self, value: bytes) -> Result[FleetConfig, InvalidDocument]:
-        """Read the configuration at once."""
+        """Decode the configuration without a break."""
         return at_once(self.read_config(value))
 
     @abc.abstractmethod
     def decode_upstream(self, entry: Entry) -> Result[UpstreamRecord, InvalidDocument]:
-        """Read an upstream's entry."""
+        """Decode an upstream's entry."""
 
 
 class AnswerKind(enum.Enum):
-    """What an upstream's answer says about the request."""
+    """What an upstream's response says about the request."""
 
-    #: A whole answer for the client.
+    #: A complete response for the client.
     SERVED = "served"
     #: The upstream states that it did not run the request.
     NOT_RUN = "not_run"
-    #: Another upstream has the address; it did not run the request.
+    #: Another upstream uses the address now; it did not run the request.
     WRONG_UPSTREAM = "wrong_upstream"
     #: The upstream ran the request and failed.
     FAILED = "failed"
-    #: The request's time ended while the upstream ran it.
+    #: The request's deadline passed while the upstream ran it.
     EXPIRED = "expired"
-    #: No valid answer of an upstream; the request may have run.
+    #: Not a valid response of an upstream; the request may have run.
     INVALID = "invalid"
 
 
 @dataclass(frozen=True, slots=True)
 class CallerTerms:
-    """What a client's request says besides its target."""
+    """What the headers of a client's request say."""
 
-    #: The client attempt's id; empty where the client gave none.
+    #: The id of the client's attempt; empty if absent.
     attempt_id: str
-    #: The host, empty where the client gave none.
+    #: The host; empty if absent.
     host: str
-    #: How long the client waits from the request's arrival; None where it does not say.
+    #: How long the client waits from the request's arrival; None if absent or invalid.
     wait_s: float | None
-    #: Its API key; None where it carries none, or more than one.
+    #: The API key; None if the request has none or more than one.
     api_key: bytes | None = field(default=None, repr=False)
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """The load that an upstream states in an answer."""
+    """The load that an upstream reports in a response."""
 
-    #: Requests that it runs.
+    #: How many requests the upstream runs.
     running: int
-    #: Requests that wait for a slot.
+    #: How many requests wait for a slot there.
     waiting: int
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidLimit:
-    """A limit in an answer that is no number of requests a second."""
+    """An advertised rate limit that is not a number of requests per second."""
 
-    #: What stands there.
-    stated: str
+    #: The header's value.
+    value: str
 
     def __str__(self) -> str:
-        return f"no number of requests a second: {self.stated!r}"
+        return f"not a number of requests per second: {self.value!r}"
 
 
 class RequestContract(abc.ABC):
-    """The headers and statuses that callers, gateways and upstreams use between them."""
+    """The HTTP headers and statuses between clients, gateways and upstreams."""
 
     @abc.abstractmethod
     def caller_terms(self, request: Request) -> CallerTerms:
-        """Read what a client's request says."""
+        """Read the headers of a client's request."""
 
     @abc.abstractmethod
     def upstream_headers(
         self, request: Request, upstream_name: str, left_s: float, account: str | None = None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the fields of the request as it is sent to an upstream.
+        """Return the header fields of a request as it is sent to an upstream.
 
-        They have the name of its client account, or none, and never an API key.
+        They contain the name of the request's client account, if any, and never an API key.
         """
 
     @abc.abstractmethod
-    def belongs(self, answer: ReceivedAnswer, attempt_id: str) -> bool:
-        """Return whether an answer belongs to a client attempt."""
+    def belongs(self, response: ReceivedAnswer, attempt_id: str) -> bool:
+        """Return whether a response belongs to a client's attempt."""
 
     @abc.abstractmethod
-    def kind(self, answer: ReceivedAnswer) -> AnswerKind:
-        """Return what an upstream's answer says."""
+    def kind(self, response: ReceivedAnswer) -> AnswerKind:
+        """Classify an upstream's response."""
 
     @abc.abstractmethod
-    def reported_load(self, answer: ReceivedAnswer) -> ReportedLoad | None:
-        """Return the load that an answer states."""
+    def reported_load(self, response: ReceivedAnswer) -> ReportedLoad | None:
+        """Return the load that a response reports; None if it reports none."""
 
     @abc.abstractmethod
-    def named_limit(self, answer: ReceivedAnswer) -> Result[float | None, InvalidLimit]:
-        """Return how many requests a second its upstream takes from all instances together.
+    def named_limit(self, response: ReceivedAnswer) -> Result[float | None, InvalidLimit]:
+        """Return the rate limit that a response advertises.
 
-        None where it names no limit, so that the one it named before has ended.
+        The limit is the number of requests per second that the upstream accepts from all instances
+        together. None means that no limit is advertised; an earlier one has then ended.
         """
 
     @abc.abstractmethod
     def answer(self, received: ReceivedAnswer) -> Answer:
-        """Return an upstream's answer as it is passed to the client, unchanged in its meaning."""
+        """Return an upstream's response in the form for the client, with the same meaning."""
 
     @abc.abstractmethod
     def not_run(self, retry_after_s: float, *, close: bool = False) -> Answer:
-        """Return the answer that promises that a request has not run and never will."""
+        """Return the response that promises that a request has not run and never will."""
 
     @abc.abstractmethod
     def over_quota(self, retry_after_s: float) -> Answer:
-        """Return the answer to a request that its quota has no room for; it never runs."""
+        """Return the response to a request that exceeds its account's quota; it never runs."""
 
     @abc.abstractmethod
     def directory_answer(self, addresses: Sequence[str], ttl_s: float) -> Answer:
-        """Return the answer to a client that asks which addresses to use."""
+        """Return the response to a client's directory query, with instance addresses."""
 
     @abc.abstractmethod
     def is_ready_question(self, request: Request) -> bool:
-        """Return whether a request asks if the instance is ready."""
+        """Return whether a request is a readiness probe."""
 
     @abc.abstractmethod
     def directory_zone(self, request: Request) -> str | None:
-        """Return the zone of a client that asks for addresses; None for another request."""
+        """Return the client's zone of a directory query; None for other requests."""
--- a/src/egretrail/gateway/_log.py
+++ b/src/egretrail/gateway/_log.py
@@ -1,88 +1,89 @@
-"""Log lines of key=value pairs on standard output, bounded and never waited for."""
+"""Writes log lines of key=value pairs to standard output, rate-limited and without blocking."""
 
 import os
 import time
 from collections import deque
 
-#: Lines a second that a process writes at most; above, lines are counted and the count is logged.
-#: A request takes two lines, so that a hundred requests a second are told in whole.
-_LINES_PER_S = 250
-#: Lines that wait while the reader of standard output is slow, about 200 bytes each.
-_WAITING_MAX = 2_000
-#: Waiting lines are written in pieces of this size, the least that a pipe takes at once.
-_PIECE_BYTES = 4_096
+#: The largest number of lines per second. Further lines are dropped, and their count is logged. A
+#: request takes two lines, so a hundred requests per second are logged completely.
+_LINES_PER_S_MAX = 250
+#: The largest number of buffered lines while the reader is slow, about 200 bytes each.
+_BUFFERED_LINES_MAX = 2_000
+#: Buffered lines are written in chunks of at most this size, which a pipe writes atomically.
+_CHUNK_BYTES = 4_096
 
 
 class EventLog:
-    """Collects lines and writes them without blocking.
+    """Buffers log lines and writes them without blocking.
 
-    A log that waits for its reader stops every request of the process. A full pipe leaves the
-    lines waiting, a closed one drops them; both are counted.
+    A blocking write to a slow reader would stall every request of the process. While the pipe is
+    full, lines stay in the buffer; those beyond its limit, and all lines after the reader closed
+    the pipe, are dropped and counted.
     """
 
     def __init__(self, instance: str, descriptor: int = 1) -> None:
         self._instance = instance
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._rest = b""
-        self._second = 0
-        self._lines = 0
-        #: Lines that were dropped since the last that said so.
+        self._buffer: deque[bytes] = deque()
+        self._unwritten = b""
+        self._current_second = 0
+        self._lines_in_second = 0
+        #: Lines that were dropped since the last ``log_suppressed`` line.
         self.suppressed = 0
-        #: Lines that were dropped since the start.
+        #: Lines that were dropped since the process started.
         self.suppressed_total = 0
         os.set_blocking(descriptor, False)
 
     def event(self, name: str, **fields: object) -> None:
-        """Add one line."""
+        """Add a line with an event's name and fields."""
         now_s = time.time()
-        if int(now_s) != self._second:
-            self._second = int(now_s)
-            self._lines = 0
-            self._tell_suppressed(now_s)
-        self._lines += 1
-        if self._lines > _LINES_PER_S or len(self._waiting) >= _WAITING_MAX:
+        if int(now_s) != self._current_second:
+            self._current_second = int(now_s)
+            self._lines_in_second = 0
+            self._log_suppressed(now_s)
+        self._lines_in_second += 1
+        if self._lines_in_second > _LINES_PER_S_MAX or len(self._buffer) >= _BUFFERED_LINES_MAX:
             self.suppressed += 1
             self.suppressed_total += 1
             return
-        self._waiting.append(self._line(name, now_s, fields))
+        self._buffer.append(self._format_line(name, now_s, fields))
 
     def flush(self) -> None:
-        """Write what can be written now; the rest waits for the next call."""
-        while self._rest or self._waiting:
-            if not self._rest:
-                self._rest = self._piece()
+        """Write as many lines as possible without blocking; the others stay in the buffer."""
+        while self._unwritten or self._buffer:
+            if not self._unwritten:
+                self._unwritten = self._next_chunk()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads: the lines are lost, and the process goes on.
-                self.suppressed_total += len(self._waiting) + 1
-                self._waiting.clear()
-                self._rest = b""
+                # The reader closed the pipe: drop the lines and go on.
+                self.suppressed_total += len(self._buffer) + 1
+                self._buffer.clear()
+                self._unwritten = b""
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
-    def _piece(self) -> bytes:
-        piece = self._waiting.popleft()
-        while self._waiting and len(piece) + len(self._waiting[0]) <= _PIECE_BYTES:
-            piece += self._waiting.popleft()
-        return piece
+    def _next_chunk(self) -> bytes:
+        chunk = self._buffer.popleft()
+        while self._buffer and len(chunk) + len(self._buffer[0]) <= _CHUNK_BYTES:
+            chunk += self._buffer.popleft()
+        return chunk
 
-    def _tell_suppressed(self, now_s: float) -> None:
+    def _log_suppressed(self, now_s: float) -> None:
         if self.suppressed:
             fields: dict[str, object] = {"lines": self.suppressed}
-            self._waiting.append(self._line("log_suppressed", now_s, fields))
+            self._buffer.append(self._format_line("log_suppressed", now_s, fields))
             self.suppressed = 0
 
-    def _line(self, name: str, now_s: float, fields: dict[str, object]) -> bytes:
+    def _format_line(self, name: str, now_s: float, fields: dict[str, object]) -> bytes:
         parts = [f"time={now_s:.3f}", f"instance={self._instance}", f"event={name}"]
-        parts += [f"{key}={_value(value)}" for key, value in fields.items()]
+        parts += [f"{key}={_format_value(value)}" for key, value in fields.items()]
         return (" ".join(parts) + "\n").encode()
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, float):
         return f"{value:.4g}"
     text = str(value)
--- a/src/egretrail/gateway/_metrics.py
+++ b/src/egretrail/gateway/_metrics.py
@@ -1,9 +1,9 @@
-"""Counters and latency histograms in the text format of Prometheus."""
+"""Counters and latency histograms in the Prometheus text format."""
 
 from bisect import bisect_left
 from collections import Counter
 
-#: Bounds of the latency histograms, in seconds.
+#: Upper bounds of the latency histograms' buckets, in seconds.
 _BOUNDS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0)
 
 
@@ -20,41 +20,44 @@
 
 
 class GatewayMetrics:
-    """What a gateway counts. The client library would take 7 MB of a process of 22 MB."""
+    """The metrics of a gateway.
+
+    The Prometheus client library is not used: it would take 7 MB of memory in a process of 22 MB.
+    """
 
     def __init__(self) -> None:
         self._answers: Counter[tuple[str, str]] = Counter()
         self._refusals: Counter[str] = Counter()
-        self._bytes_across: Counter[str] = Counter()
+        self._cross_zone_bytes: Counter[str] = Counter()
         self._attempts: dict[str, _Histogram] = {}
         self._requests: dict[str, _Histogram] = {}
 
     def answered(self, route: str, outcome: str, duration_s: float) -> None:
-        """Count a request that got its final answer, or whose client left."""
+        """Count a request that got its final response, or whose client disconnected."""
         self._answers[route, outcome] += 1
         self._requests.setdefault(outcome, _Histogram()).observe(duration_s)
 
     def refused(self, reason: str) -> None:
-        """Count a refusal."""
+        """Count a refused request."""
         self._refusals[reason] += 1
 
-    def crossed(self, kind: str, size_bytes: int) -> None:
-        """Count bytes that went to or came from another zone, by what they are."""
-        self._bytes_across[kind] += size_bytes
+    def count_cross_zone_bytes(self, kind: str, size_bytes: int) -> None:
+        """Count bytes sent to or received from upstreams of other zones, by kind."""
+        self._cross_zone_bytes[kind] += size_bytes
 
     def attempted(self, outcome: str, duration_s: float) -> None:
-        """Count what became of a request at an upstream."""
+        """Count an outcome of an attempt at an upstream."""
         self._attempts.setdefault(outcome, _Histogram()).observe(duration_s)
 
     def text(self, gauges: dict[str, float]) -> bytes:
-        """Return all metrics; ``gauges`` are values of this moment by name, labels included."""
+        """Return all metrics as text; ``gauges`` holds current values by name, with labels."""
         lines = [f"egretrail_{name} {value:g}" for name, value in sorted(gauges.items())]
         for (route, outcome), count in sorted(self._answers.items()):
             labels = f'route="{route}",outcome="{outcome}"'
             lines.append(f"egretrail_answers_total{{{labels}}} {count}")
         for reason, count in sorted(self._refusals.items()):
             lines.append(f'egretrail_refusals_total{{reason="{reason}"}} {count}')
-        for kind, count in sorted(self._bytes_across.items()):
+        for kind, count in sorted(self._cross_zone_bytes.items()):
             lines.append(f'egretrail_bytes_across_zones_total{{kind="{kind}"}} {count}')
         lines += _histogram_lines("request_seconds", self._requests)
         lines += _histogram_lines("attempt_seconds", self._attempts)
--- /dev/null
+++ b/src/egretrail/gateway/_pending_request.py
@@ -0,0 +1,81 @@
+"""The state of a request from its admission to its final response."""
+
+import enum
+from dataclasses import dataclass, field
+
+from egretrail.dispatch import RequestDigest
+from egretrail.gateway._interfaces import CallerTerms
+from egretrail.http1 import ReceivedAnswer, Request
+from egretrail.traffic import ClientAccount, Route, RouteKind
+
+
+class Disposition(enum.Enum):
+    """What the end of one attempt means for the request; logged as ``fate``."""
+
+    #: The upstream gave a complete response for the client.
+    SERVED = "served"
+    #: The upstream refused the request without running it.
+    NOT_RUN = "not_run"
+    #: No connection could be opened.
+    UNREACHABLE = "unreachable"
+    #: The upstream started to drain while the connection was opened; nothing was sent.
+    DRAINING = "leaving"
+    #: The request ran, or may have run, without a valid response.
+    FAILED = "failed"
+
+
+#: Dispositions of attempts that sent nothing.
+UNSENT = frozenset({Disposition.UNREACHABLE, Disposition.DRAINING})
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """The result of one attempt."""
+
+    #: What the attempt means for the request.
+    disposition: Disposition
+    #: The upstream's response; None if none arrived complete and valid.
+    received: ReceivedAnswer | None = None
+    #: What went wrong, for the log.
+    cause: str = ""
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """An admitted request that has not got its final response."""
+
+    #: The request as the client sent it.
+    request: Request
+    #: What its headers say.
+    metadata: CallerTerms
+    #: Its route, in the configuration that was in force when the request was admitted.
+    route: Route
+    #: The service whose upstreams serve the request.
+    service: str
+    #: The client account whose quota the request uses; None where requests need no API key.
+    account: ClientAccount | None
+    #: The digest that identifies the same request when a client sends it again.
+    digest: RequestDigest
+    #: When the response is due, by the event loop's clock.
+    deadline_s: float
+    #: Ids of the upstreams that were chosen so far.
+    tried: list[str] = field(default_factory=list)
+    #: How many attempts could not send anything.
+    unsent_count: int = 0
+    #: Whether the request was counted against its account's quota.
+    is_charged: bool = False
+    #: How many attempts were started, without those that could not send anything.
+    send_count: int = 0
+    #: Whether the request was due for hedging, also where no hedge was sent.
+    is_hedge_decided: bool = False
+    #: Whether an upstream may have run the request.
+    may_have_run: bool = False
+    #: The last response with which an upstream reported a failure.
+    failure_response: ReceivedAnswer | None = None
+    #: What went wrong last, for the log.
+    last_cause: str = ""
+
+    @property
+    def is_retryable(self) -> bool:
+        """Whether the request may run more than once."""
+        return self.route.kind is RouteKind.IDEMPOTENT
--- a/src/egretrail/gateway/_pool.py
+++ b/src/egretrail/gateway/_pool.py
@@ -1,72 +1,72 @@
-"""Open connections to upstreams, kept for the next request."""
+"""Keeps idle connections to upstreams for reuse."""
 
 import asyncio
 from collections.abc import Collection
 
 from egretrail.http1 import ClientConnection, open_connection
 
-#: A connection attempt takes a few milliseconds. One lost packet costs a second, after which
-#: another upstream has long answered.
+#: Connecting takes a few milliseconds. After a lost packet it would take a second, in which another
+#: upstream can serve the request.
 _CONNECT_TIMEOUT_S = 0.35
-#: An idle connection is used only within this share of the upstream's own limit, or of the default
-#: below: an upstream that closes it while a request is on its way leaves the outcome unknown.
+#: An idle connection is reused only within this share of the upstream's idle timeout, or of the
+#: default below. If the upstream closed it while a request is in transit, the outcome is unknown.
 _IDLE_SHARE = 0.7
-_IDLE_DEFAULT_S = 4.0
-#: Idle connections kept for one upstream; an instance rarely has more requests there at once.
-_IDLE_PER_UPSTREAM = 3
+_DEFAULT_IDLE_TIMEOUT_S = 4.0
+#: Idle connections kept per upstream. An instance rarely has more concurrent requests at one.
+_IDLE_PER_UPSTREAM_MAX = 3
 
 
-class UpstreamPool:
-    """Connections by upstream lifetime."""
+class UpstreamConnectionPool:
+    """Idle connections by upstream lifetime (upstream id)."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[ClientConnection]] = {}
-        #: Connections that were opened, for the metrics.
-        self.opened = 0
+        #: How many connections were opened, for the metrics.
+        self.opened_total = 0
 
-    def connected(self) -> Collection[str]:
-        """Return the upstreams to which a connection is open and idle."""
+    def idle_upstreams(self) -> Collection[str]:
+        """Return the ids of the upstreams to which an idle connection is open."""
         return self._idle.keys()
 
     async def acquire(self, upstream_id: str, address: str) -> ClientConnection:
-        """Return an idle connection or a new one; raises ConnectFailed."""
+        """Return a reusable idle connection, or open one; raises ConnectFailed."""
         idle = self._idle.get(upstream_id, [])
         connection = None
         while idle and connection is None:
-            held = idle.pop()
-            if self._usable(held):
-                connection = held
+            candidate = idle.pop()
+            if self._is_usable(candidate):
+                connection = candidate
             else:
-                held.abort()
+                candidate.abort()
         if not idle:
             self._idle.pop(upstream_id, None)
         if connection is not None:
             return connection
-        self.opened += 1
+        self.opened_total += 1
         return await open_connection(address, _CONNECT_TIMEOUT_S)
 
     def release(self, upstream_id: str, connection: ClientConnection) -> None:
-        """Keep a connection whose exchange is over, if it can be used again."""
+        """Keep a connection whose exchange has ended if it can be reused, else close it."""
         idle = self._idle.setdefault(upstream_id, [])
-        if connection.reusable and len(idle) < _IDLE_PER_UPSTREAM:
+        if connection.reusable and len(idle) < _IDLE_PER_UPSTREAM_MAX:
             idle.append(connection)
         else:
             connection.abort()
             if not idle:
                 del self._idle[upstream_id]
 
-    def keep_only(self, upstream_ids: set[str]) -> None:
-        """Close the connections to lifetimes that are no longer listed."""
-        for upstream_id in [held for held in self._idle if held not in upstream_ids]:
+    def retain_only(self, upstream_ids: set[str]) -> None:
+        """Close the connections to all other lifetimes."""
+        for upstream_id in [known for known in self._idle if known not in upstream_ids]:
             for connection in self._idle.pop(upstream_id):
                 connection.abort()
 
-    def sweep(self) -> None:
-        """Close connections that were idle for too long."""
+    def close_expired(self) -> None:
+        """Close the connections that were idle for too long."""
         for upstream_id in list(self._idle):
             kept = []
             for connection in self._idle[upstream_id]:
-                if self._usable(connection):
+                if self._is_usable(connection):
                     kept.append(connection)
                 else:
                     connection.abort()
@@ -76,10 +76,10 @@
                 del self._idle[upstream_id]
 
     def close(self) -> None:
-        """Close all."""
-        self.keep_only(set())
+        """Close all idle connections."""
+        self.retain_only(set())
 
-    def _usable(self, connection: ClientConnection) -> bool:
-        limit_s = connection.server_idle_timeout_s or _IDLE_DEFAULT_S
+    def _is_usable(self, connection: ClientConnection) -> bool:
+        timeout_s = connection.server_idle_timeout_s or _DEFAULT_IDLE_TIMEOUT_S
         idle_s = asyncio.get_running_loop().time() - connection.idle_since_s
-        return connection.reusable and idle_s < limit_s * _IDLE_SHARE
+        return connection.reusable and idle_s < timeout_s * _IDLE_SHARE
--- a/src/egretrail/gateway/_settings_change.py
+++ b/src/egretrail/gateway/_settings_change.py
@@ -1,4 +1,4 @@
-"""What a running process takes over of changed settings."""
+"""Determines which changed settings a running process applies."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -6,28 +6,28 @@
 
 from egretrail.gateway._interfaces import GatewaySettings, StartSettings
 
-_START_FIELDS = [field.name for field in dataclasses.fields(StartSettings)]
+_STARTUP_FIELDS = [field.name for field in dataclasses.fields(StartSettings)]
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """What differs between the settings in force and those of the file."""
+    """The difference between the settings in force and those in the file."""
 
-    #: What holds from now on: the running fields of the file and the others as they were.
+    #: The new settings in force: the fields that only a restart applies keep their values.
     settings: GatewaySettings
-    #: The names of fields that were taken over.
-    taken: Sequence[str]
-    #: The names of fields that only the next start takes over.
-    waiting: Sequence[str]
+    #: The names of the changed fields that are applied now.
+    applied: Sequence[str]
+    #: The names of the changed fields that only a restart applies.
+    pending_restart: Sequence[str]
 
 
-def settings_change(in_force: GatewaySettings, read: GatewaySettings) -> SettingsChange:
-    """Return what a process with some settings makes of those that its file holds now."""
+def compare_settings(in_force: GatewaySettings, read: GatewaySettings) -> SettingsChange:
+    """Compare the settings in force with those just read from the file."""
     names = [field.name for field in dataclasses.fields(GatewaySettings)]
     changed = [name for name in names if getattr(read, name) != getattr(in_force, name)]
-    kept = {name: getattr(in_force, name) for name in _START_FIELDS}
+    kept = {name: getattr(in_force, name) for name in _STARTUP_FIELDS}
     return SettingsChange(
         dataclasses.replace(read, **kept),
-        taken=[name for name in changed if name not in _START_FIELDS],
-        waiting=[name for name in changed if name in _START_FIELDS],
+        applied=[name for name in changed if name not in _STARTUP_FIELDS],
+        pending_restart=[name for name in changed if name in _STARTUP_FIELDS],
     )
--- a/src/egretrail/gateway/_settings_file.py
+++ b/src/egretrail/gateway/_settings_file.py
@@ -1,4 +1,4 @@
-"""Notices that the settings file has changed, with a signal and without one."""
+"""Detects changes of the settings file, by a signal and by polling."""
 
 import abc
 from collections.abc import Hashable
@@ -7,69 +7,71 @@
 
 from egretrail.gateway._interfaces import GatewaySettings, InvalidDocument
 
-#: How often the file is looked at without a signal.
-_LOOK_S = 2.0
-#: What was read counts once it is read again this much later: a half-written file may be valid, and
-#: its missing fields would get their defaults.
-_SETTLE_S = 0.1
+#: The polling interval of the file's fingerprint.
+_POLL_INTERVAL_S = 2.0
+#: Contents are accepted only if they are the same when read again after this time. A half-written
+#: file may be valid, and its missing fields would get their defaults.
+_STABLE_S = 0.1
 
-Read = Result[GatewaySettings, InvalidDocument]
+SettingsResult = Result[GatewaySettings, InvalidDocument]
 
 
 class SettingsFile(abc.ABC):
     """The settings file of a process."""
 
     @abc.abstractmethod
-    def read(self) -> Read:
-        """Read the file."""
+    def read(self) -> SettingsResult:
+        """Read and validate the file."""
 
     @abc.abstractmethod
     def stamp(self) -> Hashable:
-        """Return what differs after nearly every change, without reading the file."""
+        """Return a value that differs after nearly every change, without reading the file."""
 
 
-class SettingsWatch:
-    """Reads the file when a signal came, when it seems to have changed, and while it is invalid."""
+class SettingsFileWatcher:
+    """Reads the file after a signal, when its fingerprint changes, and while it is invalid."""
 
     def __init__(self, file: SettingsFile, settings: GatewaySettings, now_s: float) -> None:
         self._file = file
-        #: What the file held when it last counted.
-        self._last: Read = Ok(settings)
-        #: None until the first look: the file may have changed since it was read at the start.
-        self._stamp: Hashable = None
-        self._next_look_s = now_s
-        self._signalled = False
-        #: What was read last and does not count yet, and when it was.
-        self._unsettled: tuple[Read, float] | None = None
+        #: The contents that were accepted last.
+        self._accepted: SettingsResult = Ok(settings)
+        #: None before the first poll: the file may have changed since it was read at the start.
+        self._last_fingerprint: Hashable = None
+        self._next_poll_s = now_s
+        self._read_requested = False
+        #: The contents that were read last and are not yet accepted, and when they were read.
+        self._unstable: tuple[SettingsResult, float] | None = None
 
-    def signal(self) -> None:
-        """Take a signal that the file has changed."""
-        self._signalled = True
+    def request_read(self) -> None:
+        """Read the file at the next poll, whatever its fingerprint."""
+        self._read_requested = True
 
-    def look(self, now_s: float) -> Read | None:
-        """Look at the file if it is time; return what it holds once that is new and settled."""
-        if self._unsettled is not None:
-            return self._settle(*self._unsettled, now_s)
-        if not self._signalled and now_s < self._next_look_s:
+    def poll(self, now_s: float) -> SettingsResult | None:
+        """Check the file if a check is due; return new contents once they are stable, else None."""
+        if self._unstable is not None:
+            return self._accept_if_stable(*self._unstable, now_s)
+        if not self._read_requested and now_s < self._next_poll_s:
             return None
-        self._next_look_s = now_s + _LOOK_S
-        stamp = self._file.stamp()
-        asked, self._signalled = self._signalled, False
-        # A failure to read may pass without a change of the file.
-        if asked or stamp != self._stamp or isinstance(self._last, Err):
-            self._stamp = stamp
-            self._unsettled = (self._file.read(), now_s)
+        self._next_poll_s = now_s + _POLL_INTERVAL_S
+        fingerprint = self._file.stamp()
+        is_requested, self._read_requested = self._read_requested, False
+        # A read error may go away without a change of the file.
+        if is_requested or fingerprint != self._last_fingerprint or isinstance(self._accepted, Err):
+            self._last_fingerprint = fingerprint
+            self._unstable = (self._file.read(), now_s)
         return None
 
-    def _settle(self, before: Read, read_s: float, now_s: float) -> Read | None:
-        if now_s - read_s < _SETTLE_S:
+    def _accept_if_stable(
+        self, before: SettingsResult, read_s: float, now_s: float
+    ) -> SettingsResult | None:
+        if now_s - read_s < _STABLE_S:
             return None
         read = self._file.read()
         if read != before:
-            self._unsettled = (read, now_s)
+            self._unstable = (read, now_s)
             return None
-        self._unsettled = None
-        if read == self._last:
+        self._unstable = None
+        if read == self._accepted:
             return None
-        self._last = read
+        self._accepted = read
         return read
--- a/src/egretrail/gateway/_slices.py
+++ b/src/egretrail/gateway/_slices.py
@@ -1,4 +1,4 @@
-"""Long decisions in slices, so that a process goes on answering meanwhile."""
+"""Runs long computations in slices so that other tasks of the process are not blocked."""
 
 import asyncio
 from collections.abc import Generator
@@ -7,16 +7,16 @@
 T = TypeVar("T")
 
 
-async def in_slices(work: Generator[None, None, T]) -> T:
-    """Run work to its end and return its result; other tasks run at each of its ``yield``s.
+async def in_slices(generator: Generator[None, None, T]) -> T:
+    """Run a generator to its end and return its result; other tasks run at each ``yield``.
 
-    Load: a hub that reads thousands of routes at once is silent for longer than its zone waits for
-    it, and requests that arrive meanwhile wait as long.
+    Without slices, a hub that decodes thousands of routes sends nothing for longer than its zone's
+    hub timeout, and requests that arrive meanwhile wait as long.
     """
     while True:
         try:
-            next(work)
-        except StopIteration as done:
-            result: T = done.value
+            next(generator)
+        except StopIteration as stop:
+            result: T = stop.value
             return result
         await asyncio.sleep(0)
--- a/src/egretrail/gateway/_timer.py
+++ b/src/egretrail/gateway/_timer.py
@@ -1,11 +1,11 @@
-"""A callback at a time that may be brought forward."""
+"""A timer that can be rescheduled to an earlier time."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class Timer:
-    """Calls back once at the earliest of the times that were asked for."""
+    """Calls a function once, at the earliest of the scheduled times."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
         self._loop = loop
@@ -14,7 +14,7 @@
         self._due_s = 0.0
 
     def at(self, due_s: float) -> None:
-        """Call back at a time of the loop's clock, or sooner where that is set already."""
+        """Schedule the call at a time of the event loop's clock, or keep an earlier schedule."""
         if self._handle is not None:
             if self._due_s <= due_s:
                 return
@@ -23,7 +23,7 @@
         self._handle = self._loop.call_at(due_s, self._run)
 
     def stop(self) -> None:
-        """Do not call back before the next time that is asked for."""
+        """Cancel the scheduled call, if any."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/src/egretrail/gateway/tests/settings.py
+++ b/src/egretrail/gateway/tests/settings.py
@@ -1,10 +1,10 @@
-"""Settings of a gateway in tests."""
+"""Gateway settings for tests."""
 
 from egretrail.gateway import GatewaySettings
 
 
 def gateway_settings(ip: str = "127.0.0.1", zone: str = "zone-a") -> GatewaySettings:
-    """Return settings with the bounds of a small deployment."""
+    """Return the settings of an instance in a small deployment."""
     return GatewaySettings(
         name=f"node-{ip}",
         ip=ip,
--- a/src/egretrail/gateway/tests/test_executor.py
+++ b/src/egretrail/gateway/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""What the executor leaves behind when requests end in unusual ways."""
+"""Responses and counts of the request executor when requests are refused, fail or are cancelled."""
 
 import asyncio
 import json
@@ -11,11 +11,11 @@
 from result import Ok
 
 from egretrail.cluster import at_once, part_config
-from egretrail.gateway._executor import Executor
+from egretrail.gateway._executor import RequestExecutor
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
 from egretrail.gateway._peer_streams import StateOffer
-from egretrail.gateway._pool import UpstreamPool
+from egretrail.gateway._pool import UpstreamConnectionPool
 from egretrail.gateway._state_exchange import StateExchange
 from egretrail.gateway._view import FleetView
 from egretrail.gateway.tests.settings import gateway_settings
@@ -41,7 +41,7 @@
     single_attempt_route("once", "/once/", "s"),
 ]
 
-Act = Callable[[Executor, FleetView, StandInBackend], Awaitable[None]]
+Scenario = Callable[[RequestExecutor, FleetView, StandInBackend], Awaitable[None]]
 
 
 def _request(method: bytes, target: bytes) -> Request:
@@ -49,10 +49,12 @@
 
 
 class ExecutorTest(EgretrailTestCase):
-    def _play(self, act: Act, accounts: Sequence[dict[str, object]] | None = None) -> None:
+    def _run_with_backend(
+        self, scenario: Scenario, accounts: Sequence[dict[str, object]] | None = None
+    ) -> None:
         async def run() -> None:
             loop = asyncio.get_running_loop()
-            log = EventLog("test", descriptor=_null())
+            log = EventLog("test", descriptor=_open_devnull())
             rng = random.Random(1)
             view = FleetView(gateway_settings(), 1, loop.time, log, rng)
             document = json.dumps(config(1, _ROUTES, accounts)).encode()
@@ -65,18 +67,20 @@
                 backend.id, "s", backend.address, "zone-a", 4, UpstreamState.READY
             )
             view.take_upstreams([record], 5, "test")
-            executor = Executor(
-                view, PlatformContract(), UpstreamPool(), log, GatewayMetrics(), rng
+            executor = RequestExecutor(
+                view, PlatformContract(), UpstreamConnectionPool(), log, GatewayMetrics(), rng
             )
             try:
-                await act(executor, view, backend)
+                await scenario(executor, view, backend)
             finally:
                 await backend.stop()
 
         self.run_real(run())
 
-    def test_a_request_whose_client_leaves_at_once_is_not_counted_on(self) -> None:
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
+    def test_a_request_whose_client_disconnects_at_once_is_not_counted_as_running(self) -> None:
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
             for steps in range(6):
                 task = asyncio.create_task(executor.serve(_request(b"GET", b"/read/1")))
                 for _ in range(steps):
@@ -86,32 +90,34 @@
                 await asyncio.sleep(0)
             self.assertEqual({}, view.load.own_counts())
 
-        self._play(act)
+        self._run_with_backend(scenario)
 
-    def test_an_unknown_route_is_not_denied_by_a_configuration_that_is_known_to_be_old(
+    def test_an_unknown_route_is_not_final_while_a_newer_configuration_may_exist(
         self,
     ) -> None:
-        """Callers took 404 for final, for routes that were added seconds before.
+        """Guards against 404 responses, which clients treat as final, for routes added just before.
 
-        The instance had been told that a newer version exists and was still fetching it; the newer
-        version may have the route. Whoever is up to date denies, whoever is behind must not.
+        An instance that is still fetching a newer version does not know whether that version has
+        the route. It responds 503; only an instance with the newest version responds 404.
         """
 
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
-            # Cut off from the store and from all peers it cannot know what is in force.
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
+            # Without contact to the store or peers the instance may have missed a newer version.
             self.assertEqual(503, (await executor.serve(_request(b"GET", b"/new/1"))).status)
             view.configs.reaches_store = True
             self.assertEqual(404, (await executor.serve(_request(b"GET", b"/new/1"))).status)
-            log = EventLog("test", descriptor=_null())
+            log = EventLog("test", descriptor=_open_devnull())
             exchange = StateExchange(gateway_settings(), view, log, random.Random(1))
             exchange.fetch_if_newer(StateOffer("127.0.0.2", "zone-a", 2, 0))
-            answer = await executor.serve(_request(b"GET", b"/new/1"))
-            self.assertEqual(503, answer.status)
-            self.assertLess(float(dict(answer.headers)[b"Retry-After"]), 1.0)
-            # What the older version routes is still served.
+            response = await executor.serve(_request(b"GET", b"/new/1"))
+            self.assertEqual(503, response.status)
+            self.assertLess(float(dict(response.headers)[b"Retry-After"]), 1.0)
+            # Requests to routes of the older version are still served.
             self.assertEqual(200, (await executor.serve(_request(b"GET", b"/read/1"))).status)
 
-        self._play(act)
+        self._run_with_backend(scenario)
 
     @cases(
         {
@@ -127,10 +133,12 @@
     ) -> None:
         api_key, target, expected, name = case
 
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
             request = client_request(HOST, b"GET", target, api_key=api_key)
             if expected == 401:
-                # Only who knows that there is no newer version may give a final answer.
+                # Only an instance whose configuration is the newest may give a final response.
                 self.assertEqual(503, (await executor.serve(request)).status)
                 view.configs.reaches_store = True
             self.assertEqual(expected, (await executor.serve(request)).status)
@@ -139,72 +147,86 @@
                 self.assertEqual(name, told_account(headers))
                 self.assertFalse(has_api_key(headers))
 
-        self._play(act, [account("acme", "k1", "k2")])
+        self._run_with_backend(scenario, [account("acme", "k1", "k2")])
 
-    def test_keys_are_refused_while_they_may_have_ended_unheard(self) -> None:
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
+    def test_api_keys_are_refused_while_a_revocation_may_have_been_missed(self) -> None:
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
             view.take_settings(replace(gateway_settings(), revocation_s=5.0))
             keyed = client_request(HOST, b"GET", b"/read/1", api_key=b"k1")
             now_s = asyncio.get_running_loop().time()
             view.prove_config(now_s - 4.9)
-            answer = await executor.serve(keyed)
-            self.assertEqual(503, answer.status)
-            self.assertLess(float(dict(answer.headers)[b"Retry-After"]), 1.0)
+            response = await executor.serve(keyed)
+            self.assertEqual(503, response.status)
+            self.assertLess(float(dict(response.headers)[b"Retry-After"]), 1.0)
             public = client_request(HOST, b"GET", b"/open/1", api_key=b"k1")
             self.assertEqual(200, (await executor.serve(public)).status)
             view.prove_config(asyncio.get_running_loop().time() - 4.0)
             self.assertEqual(200, (await executor.serve(keyed)).status)
 
-        self._play(act, [account("acme", "k1")])
+        self._run_with_backend(scenario, [account("acme", "k1")])
 
-    def test_a_request_is_not_sent_to_an_upstream_that_began_to_leave_while_it_connected(
+    def test_a_request_is_not_sent_to_an_upstream_that_started_draining_while_connecting(
         self,
     ) -> None:
-        """Requests were sent by a choice from before the upstream's word arrived."""
+        """Guards against sending by a choice made before the upstream's draining was known."""
 
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
-            acquire = UpstreamPool.acquire
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
+            acquire = UpstreamConnectionPool.acquire
             [record] = view.upstreams
 
-            async def acquire_late(pool: UpstreamPool, name: str, address: str) -> ClientConnection:
+            async def acquire_late(
+                pool: UpstreamConnectionPool, name: str, address: str
+            ) -> ClientConnection:
                 connection = await acquire(pool, name, address)
-                leaving = replace(record, state=UpstreamState.DRAINING, revision=6)
-                view.take_upstreams([leaving], 6, "test")
+                draining = replace(record, state=UpstreamState.DRAINING, revision=6)
+                view.take_upstreams([draining], 6, "test")
                 return connection
 
-            with mock.patch.object(UpstreamPool, "acquire", acquire_late):
-                answer = await executor.serve(_request(b"POST", b"/order/1"))
-            self.assertEqual(503, answer.status)
+            with mock.patch.object(UpstreamConnectionPool, "acquire", acquire_late):
+                response = await executor.serve(_request(b"POST", b"/order/1"))
+            self.assertEqual(503, response.status)
             self.assertEqual(0, sum(backend.runs.values()))
 
-        self._play(act)
+        self._run_with_backend(scenario)
 
-    def test_a_request_that_hangs_is_answered_when_its_routes_time_is_over(self) -> None:
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
+    def test_a_hanging_request_gets_a_response_at_its_routes_timeout(self) -> None:
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
             backend.behaviour = Behaviour.HANGING
             loop = asyncio.get_running_loop()
-            begin_s = loop.time()
-            answer = await executor.serve(_request(b"POST", b"/order/1"))
-            self.assertEqual(504, answer.status)
-            self.assertGreaterEqual(loop.time() - begin_s, 1.4)
+            start_s = loop.time()
+            response = await executor.serve(_request(b"POST", b"/order/1"))
+            self.assertEqual(504, response.status)
+            self.assertGreaterEqual(loop.time() - start_s, 1.4)
             while view.load.own_counts():
                 await asyncio.sleep(0)
             self.assertEqual({}, view.load.own_counts())
 
-        self._play(act)
+        self._run_with_backend(scenario)
 
-    def test_who_is_refused_by_all_comes_back_when_work_has_ended(self) -> None:
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
+    def test_a_request_refused_by_all_upstreams_is_told_the_typical_duration_as_retry_after(
+        self,
+    ) -> None:
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
             backend.behaviour = Behaviour.SHEDDING
-            answer = await executor.serve(_request(b"POST", b"/once/1"))
-            self.assertEqual(503, answer.status)
-            # The usual duration before anything was measured.
-            self.assertEqual([(b"Retry-After", b"0.30")], list(answer.headers))
+            response = await executor.serve(_request(b"POST", b"/once/1"))
+            self.assertEqual(503, response.status)
+            # The typical duration that is assumed before any was measured.
+            self.assertEqual([(b"Retry-After", b"0.30")], list(response.headers))
 
-        self._play(act)
+        self._run_with_backend(scenario)
 
-    def test_a_request_that_crashes_upstreams_is_refused_after_the_third(self) -> None:
-        async def act(executor: Executor, view: FleetView, backend: StandInBackend) -> None:
+    def test_a_request_that_crashes_upstreams_is_refused_after_the_third_crash(self) -> None:
+        async def scenario(
+            executor: RequestExecutor, view: FleetView, backend: StandInBackend
+        ) -> None:
             backend.behaviour = Behaviour.RESETTING
             statuses = []
             for number in range(6):
@@ -217,8 +239,8 @@
                 statuses.append((await executor.serve(_request(b"POST", b"/order/1"))).status)
             self.assertEqual([502, 502, 502, 503, 503, 503], statuses)
 
-        self._play(act)
+        self._run_with_backend(scenario)
 
 
-def _null() -> int:
+def _open_devnull() -> int:
     return os.open(os.devnull, os.O_WRONLY)
--- a/src/egretrail/gateway/tests/test_frames.py
+++ b/src/egretrail/gateway/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Messages on streams that are slow, silent, cut short or odd."""
+"""Reading frames from streams that are slow, stall or carry an invalid length."""
 
 import asyncio
 from collections.abc import Sequence
@@ -6,21 +6,21 @@
 from egretrail.gateway._frames import FRAME_BYTES_MAX, read_frame
 from egretrail.testing import EgretrailTestCase, cases
 
-_SILENCE_S = 0.7
+_IDLE_TIMEOUT_S = 0.7
 _MESSAGE = b"x" * 60_000
 _FRAME = len(_MESSAGE).to_bytes(4, "big") + _MESSAGE
 
 
-def _pieces(size_bytes: int) -> Sequence[bytes]:
+def _chunks(size_bytes: int) -> Sequence[bytes]:
     return [_FRAME[start : start + size_bytes] for start in range(0, len(_FRAME), size_bytes)]
 
 
 class FrameTest(EgretrailTestCase):
-    def _read(self, pieces: Sequence[bytes], pause_s: float) -> tuple[bytes | Exception, float]:
+    def _read(self, chunks: Sequence[bytes], pause_s: float) -> tuple[bytes | Exception, float]:
         async def feed(reader: asyncio.StreamReader) -> None:
-            for piece in pieces:
+            for chunk in chunks:
                 await asyncio.sleep(pause_s)
-                reader.feed_data(piece)
+                reader.feed_data(chunk)
             await asyncio.sleep(3600.0)
             reader.feed_eof()
 
@@ -30,7 +30,7 @@
             feeding = loop.create_task(feed(reader))
             result: bytes | Exception
             try:
-                result = await read_frame(reader, _SILENCE_S)
+                result = await read_frame(reader, _IDLE_TIMEOUT_S)
             except (TimeoutError, EOFError, ValueError) as error:
                 result = error
             feeding.cancel()
@@ -40,32 +40,34 @@
 
     @cases(
         {
-            "at once": (_pieces(len(_FRAME)), 0.0),
-            "in pieces, longer than a silence": (_pieces(4_000), 0.1),
-            "the length in two pieces": ([_FRAME[:2], _FRAME[2:]], 0.3),
+            "at once": (_chunks(len(_FRAME)), 0.0),
+            "in chunks, in total longer than the timeout": (_chunks(4_000), 0.1),
+            "the length in two chunks": ([_FRAME[:2], _FRAME[2:]], 0.3),
         }
     )
-    def test_a_message_that_goes_on_arrives(self, case: tuple[Sequence[bytes], float]) -> None:
+    def test_a_message_that_keeps_arriving_is_read(
+        self, case: tuple[Sequence[bytes], float]
+    ) -> None:
         result, _ = self._read(*case)
         self.assertEqual(_MESSAGE, result)
 
     @cases(
         {
-            "nothing": ([], 0.1, TimeoutError),
-            "a part, and then nothing": (_pieces(4_000)[:3], 0.1, TimeoutError),
-            # It would keep the only fetch of this kind for hours.
-            "a byte now and then": (_pieces(1), 0.5, TimeoutError),
-            "a length beyond all messages": (
+            "no bytes": ([], 0.1, TimeoutError),
+            "a part of a message, then a stall": (_chunks(4_000)[:3], 0.1, TimeoutError),
+            # Without a limit this would occupy the only fetch of its kind for hours.
+            "single bytes within the timeout": (_chunks(1), 0.5, TimeoutError),
+            "a length above the maximum": (
                 [(FRAME_BYTES_MAX + 1).to_bytes(4, "big")],
                 0.1,
                 ValueError,
             ),
         }
     )
-    def test_a_stream_that_does_not_go_on_is_given_up_in_seconds(
+    def test_reading_a_stalled_or_invalid_stream_fails_within_seconds(
         self, case: tuple[Sequence[bytes], float, type[Exception]]
     ) -> None:
-        pieces, pause_s, failure = case
-        result, took_s = self._read(pieces, pause_s)
+        chunks, pause_s, failure = case
+        result, took_s = self._read(chunks, pause_s)
         self.assertIsInstance(result, failure)
         self.assertLess(took_s, 5.0)
--- a/src/egretrail/gateway/tests/test_log.py
+++ b/src/egretrail/gateway/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log never waits for its reader, and its volume is bounded."""
+"""Event log: writing never blocks and is rate-limited. Metrics: the text format."""
 
 import os
 
@@ -11,67 +11,67 @@
 class EventLogTest(EgretrailTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self._read, self._write = os.pipe()
+        self._read_end, self._write_end = os.pipe()
         self.addCleanup(self._close)
 
     def _close(self) -> None:
-        for descriptor in (self._read, self._write):
+        for descriptor in (self._read_end, self._write_end):
             try:
                 os.close(descriptor)
             except OSError:
                 continue
 
-    def _written(self) -> str:
-        return os.read(self._read, 1 << 20).decode()
+    def _read_output(self) -> str:
+        return os.read(self._read_end, 1 << 20).decode()
 
-    def test_lines_are_read_as_they_were_written(self) -> None:
-        log = EventLog("n1", self._write)
+    def test_parsed_lines_have_the_logged_fields(self) -> None:
+        log = EventLog("n1", self._write_end)
         log.event("refused", id="a1", reason='a "b" = c', left_s=0.25)
         log.flush()
-        [line] = parse_lines(self._written().splitlines())
+        [line] = parse_lines(self._read_output().splitlines())
         self.assertEqual(("n1", "refused"), (line.instance, line.event))
         self.assertEqual({"id": "a1", "reason": 'a "b" = c', "left_s": "0.25"}, dict(line.fields))
 
-    def test_a_full_pipe_leaves_lines_waiting_and_loses_none_of_them(self) -> None:
-        log = EventLog("n1", self._write)
+    def test_lines_stay_in_the_buffer_while_the_pipe_is_full(self) -> None:
+        log = EventLog("n1", self._write_end)
         for number in range(200):
             log.event("refused", number=number, padding="x" * 1000)
         log.flush()
-        seen = ""
+        output = ""
         while True:
-            seen += self._written()
-            numbers = [int(line.fields["number"]) for line in parse_lines(seen.splitlines())]
-            if len(numbers) == 200 and seen.endswith("\n"):
+            output += self._read_output()
+            numbers = [int(line.fields["number"]) for line in parse_lines(output.splitlines())]
+            if len(numbers) == 200 and output.endswith("\n"):
                 break
             log.flush()
         self.assertEqual(list(range(200)), numbers)
 
     def test_a_closed_pipe_drops_lines_and_counts_them(self) -> None:
-        log = EventLog("n1", self._write)
-        os.close(self._read)
+        log = EventLog("n1", self._write_end)
+        os.close(self._read_end)
         log.event("refused")
         log.flush()
         self.assertGreaterEqual(log.suppressed_total, 1)
 
-    def test_lines_above_the_bound_are_counted(self) -> None:
-        log = EventLog("n1", self._write)
+    def test_lines_above_the_rate_limit_are_dropped_and_counted(self) -> None:
+        log = EventLog("n1", self._write_end)
         for _ in range(5_000):
             log.event("refused")
         log.flush()
-        written = len(list(parse_lines(self._written().splitlines())))
-        # The loop may pass from one second into the next, or the second, on a slow machine.
+        written = len(list(parse_lines(self._read_output().splitlines())))
+        # On a slow machine the loop may run into the next second or the one after it.
         self.assertGreater(log.suppressed_total + written, 4_999)
         self.assertGreater(log.suppressed_total, 0)
 
 
 class MetricsTest(EgretrailTestCase):
-    def test_text(self) -> None:
+    def test_text_format(self) -> None:
         metrics = GatewayMetrics()
         metrics.answered("r", "served", 0.3)
         metrics.attempted("success", 0.3)
         metrics.refused("no_time")
-        metrics.crossed("answers", 900)
-        metrics.crossed("answers", 100)
+        metrics.count_cross_zone_bytes("answers", 900)
+        metrics.count_cross_zone_bytes("answers", 100)
         text = metrics.text({"members": 3.0}).decode()
         for line in (
             "egretrail_members 3",
--- a/src/egretrail/gateway/tests/test_settings_change.py
+++ b/src/egretrail/gateway/tests/test_settings_change.py
@@ -1,4 +1,4 @@
-"""What a running gateway makes of changed settings, and when it looks at their file."""
+"""Which changed settings a running gateway applies, and when it detects a change of their file."""
 
 import dataclasses
 from collections.abc import Hashable, Mapping, Sequence
@@ -9,13 +9,13 @@
 
 from egretrail.dispatch import QuotaTerms
 from egretrail.gateway import GatewaySettings, InvalidDocument, SettingsFile
-from egretrail.gateway._settings_change import settings_change
-from egretrail.gateway._settings_file import SettingsWatch
+from egretrail.gateway._settings_change import compare_settings
+from egretrail.gateway._settings_file import SettingsFileWatcher
 from egretrail.gateway.tests.settings import gateway_settings
 from egretrail.testing import EgretrailTestCase, cases
 
 _SETTINGS = gateway_settings()
-#: A changed value of each field, and whether a running process takes it over.
+#: A changed value of each field, and whether a running process applies it.
 _CHANGED: Mapping[str, tuple[Any, bool]] = {
     "name": ("another", False),
     "ip": ("127.0.0.9", False),
@@ -49,13 +49,13 @@
         self.assertEqual(names, set(_CHANGED))
 
     @cases({name: name for name in _CHANGED})
-    def test_each_field_is_taken_over_or_waits_for_a_start(self, name: str) -> None:
-        value, is_taken = _CHANGED[name]
-        change = settings_change(_SETTINGS, _changed(name))
-        expected = ([name], []) if is_taken else ([], [name])
-        self.assertEqual(expected, (list(change.taken), list(change.waiting)))
-        held = getattr(_SETTINGS, name)
-        self.assertEqual(value if is_taken else held, getattr(change.settings, name))
+    def test_each_field_is_applied_now_or_pending_a_restart(self, name: str) -> None:
+        value, is_applied = _CHANGED[name]
+        change = compare_settings(_SETTINGS, _changed(name))
+        expected = ([name], []) if is_applied else ([], [name])
+        self.assertEqual(expected, (list(change.applied), list(change.pending_restart)))
+        before = getattr(_SETTINGS, name)
+        self.assertEqual(value if is_applied else before, getattr(change.settings, name))
 
     @cases(
         {
@@ -63,69 +63,69 @@
             "both kinds": (("ip", "seeds", "capacity"), ["seeds", "capacity"], ["ip"]),
             "all": (
                 tuple(_CHANGED),
-                [name for name, (_, is_taken) in _CHANGED.items() if is_taken],
-                [name for name, (_, is_taken) in _CHANGED.items() if not is_taken],
+                [name for name, (_, is_applied) in _CHANGED.items() if is_applied],
+                [name for name, (_, is_applied) in _CHANGED.items() if not is_applied],
             ),
         }
     )
     def test_several_fields(self, case: tuple[Sequence[str], list[str], list[str]]) -> None:
-        names, taken, waiting = case
-        change = settings_change(_SETTINGS, _changed(*names))
-        self.assertCountEqual(taken, change.taken)
-        self.assertCountEqual(waiting, change.waiting)
-        self.assertEqual(_changed(*taken), change.settings)
-
-    def test_what_waits_is_named_again_with_the_next_change(self) -> None:
-        first = settings_change(_SETTINGS, _changed("ip"))
-        second = settings_change(first.settings, _changed("ip", "seeds"))
-        self.assertEqual((["seeds"], ["ip"]), (list(second.taken), list(second.waiting)))
-
-
-#: What a file holds: changed fields, or the fault of an invalid one.
-Held = tuple[str, ...] | str
-#: At which step of a tenth of a second something is done, and what: the file is written, with a new
-#: stamp or with the one before, or a signal comes.
-Script = Sequence[tuple[int, str, Held]]
+        names, applied, pending_restart = case
+        change = compare_settings(_SETTINGS, _changed(*names))
+        self.assertCountEqual(applied, change.applied)
+        self.assertCountEqual(pending_restart, change.pending_restart)
+        self.assertEqual(_changed(*applied), change.settings)
+
+    def test_a_pending_field_is_reported_again_with_the_next_change(self) -> None:
+        first = compare_settings(_SETTINGS, _changed("ip"))
+        second = compare_settings(first.settings, _changed("ip", "seeds"))
+        self.assertEqual((["seeds"], ["ip"]), (list(second.applied), list(second.pending_restart)))
+
+
+#: Contents of a file: the names of changed fields, or the error of an invalid file.
+Contents = tuple[str, ...] | str
+#: Actions on the file: the step (of 0.1 s), the action and the contents. "write" changes the
+#: contents and the fingerprint, "rewrite" only the contents; "signal" is SIGHUP.
+Script = Sequence[tuple[int, str, Contents]]
 _STEP_S = 0.1001
 _STEPS = 120
-#: A change counts so many steps later, with a signal and without one.
+#: Steps until a change is accepted at the latest, with a signal and without one.
 _SIGNALLED_STEPS, _UNSIGNALLED_STEPS = 2, 22
 
 
 class _ScriptedFile(SettingsFile):
-    """A file that the test writes."""
+    """A settings file whose contents the test sets."""
 
     def __init__(self) -> None:
-        self.held: Held = ()
+        self.contents: Contents = ()
         self.version = 1
         self.reads = 0
 
     def read(self) -> Result[GatewaySettings, InvalidDocument]:
         self.reads += 1
-        if isinstance(self.held, str):
-            return Err(InvalidDocument("file", [self.held]))
-        return Ok(_changed(*self.held))
+        if isinstance(self.contents, str):
+            return Err(InvalidDocument("file", [self.contents]))
+        return Ok(_changed(*self.contents))
 
     def stamp(self) -> Hashable:
         return self.version
 
 
-def _played(script: Script) -> tuple[list[tuple[int, Held]], int]:
-    """Return what counted at which step, and how often the file was read."""
+def _play_script(script: Script) -> tuple[list[tuple[int, Contents]], int]:
+    """Return the accepted contents with their steps, and how often the file was read."""
     file = _ScriptedFile()
-    watch = SettingsWatch(file, _SETTINGS, 1000.0)
-    counted: list[tuple[int, Held]] = []
+    watcher = SettingsFileWatcher(file, _SETTINGS, 1000.0)
+    accepted: list[tuple[int, Contents]] = []
     for step in range(_STEPS):
-        for _, act, held in [one for one in script if one[0] == step]:
-            if act == "signal":
-                watch.signal()
+        for _, action, contents in [entry for entry in script if entry[0] == step]:
+            if action == "signal":
+                watcher.request_read()
             else:
-                file.held = held
-                file.version += act == "write"
-        read = watch.look(1000.0 + step * _STEP_S)
+                file.contents = contents
+                file.version += action == "write"
+        read = watcher.poll(1000.0 + step * _STEP_S)
         if read is not None:
-            counted.append((step, file.held))
-    return counted, file.reads
+            accepted.append((step, file.contents))
+    return accepted, file.reads
 
 
 class SettingsWatchTest(EgretrailTestCase):
@@ -136,7 +136,7 @@
                 [(30, "write", ("seeds",)), (30, "signal", ())],
                 [(30, _SIGNALLED_STEPS, ("seeds",))],
             ),
-            "a signal of a change that the stamp hides": (
+            "a signal of a change that leaves the fingerprint as it was": (
                 [(30, "rewrite", ("seeds",)), (30, "signal", ())],
                 [(30, _SIGNALLED_STEPS, ("seeds",))],
             ),
@@ -154,7 +154,7 @@
                 [(30, "write", ("seeds",)), *((n, "signal", ()) for n in range(30, 60))],
                 [(30, _SIGNALLED_STEPS, ("seeds",))],
             ),
-            "a valid half": (
+            "a half-written file that is valid": (
                 [
                     (30, "write", ("memory_mb", "seeds")),
                     (30, "signal", ()),
@@ -162,7 +162,7 @@
                 ],
                 [(31, _SIGNALLED_STEPS, ("seeds",))],
             ),
-            "two changes, the second while the first settles": (
+            "two changes, the second before the first is accepted": (
                 [
                     (30, "write", ("seeds",)),
                     (30, "signal", ()),
@@ -174,7 +174,7 @@
                     (32, _SIGNALLED_STEPS, ("capacity",)),
                 ],
             ),
-            "a change and back": (
+            "a change that is undone": (
                 [(30, "write", ("seeds",)), (60, "write", ())],
                 [(30, _UNSIGNALLED_STEPS, ("seeds",)), (60, _UNSIGNALLED_STEPS, ())],
             ),
@@ -182,26 +182,30 @@
                 [(30, "write", "a fault"), *((n, "signal", ()) for n in range(40, 60, 3))],
                 [(30, _UNSIGNALLED_STEPS, "a fault")],
             ),
-            "another fault": (
+            "another error": (
                 [(30, "write", "a fault"), (60, "write", "another one")],
                 [(30, _UNSIGNALLED_STEPS, "a fault"), (60, _UNSIGNALLED_STEPS, "another one")],
             ),
-            "a failure to read that passes": (
+            "a read error that goes away": (
                 [(30, "write", "a fault"), (60, "rewrite", ("seeds",))],
                 [(30, _UNSIGNALLED_STEPS, "a fault"), (60, _UNSIGNALLED_STEPS, ("seeds",))],
             ),
-            "an invalid half, then the whole": (
+            "a half-written file that is invalid, then the complete one": (
                 [(30, "write", "a fault"), (30, "signal", ()), (31, "write", ("seeds",))],
                 [(31, _SIGNALLED_STEPS, ("seeds",))],
             ),
         }
     )
-    def test_what_counts_when(self, case: tuple[Script, Sequence[tuple[int, int, Held]]]) -> None:
+    def test_changes_are_accepted_in_time(
+        self, case: tuple[Script, Sequence[tuple[int, int, Contents]]]
+    ) -> None:
         script, expected = case
-        counted, _ = _played(script)
-        self.assertEqual([held for _, _, held in expected], [held for _, held in counted])
-        for (written, within, _), (step, _) in zip(expected, counted, strict=True):
+        accepted, _ = _play_script(script)
+        self.assertEqual(
+            [contents for _, _, contents in expected], [contents for _, contents in accepted]
+        )
+        for (written, within, _), (step, _) in zip(expected, accepted, strict=True):
             self.assertIn(step, range(written + 1, written + within + 1))
 
-    def test_a_file_that_stays_the_same_is_not_read(self) -> None:
-        self.assertEqual(2, _played([])[1])
+    def test_an_unchanged_file_is_not_read_again(self) -> None:
+        self.assertEqual(2, _play_script([])[1])
