--- a/src/egretrail/gateway/_attempts.py
+++ b/src/egretrail/gateway/_attempts.py
@@ -61,13 +61,13 @@
                 Disposition.DRAINING, cause="upstream is draining; nothing was sent"
             )
         started_s = self._loop.time()
-        left_s = pending.deadline_s - started_s - _RESPONSE_TRANSIT_S
+        remaining_s = pending.deadline_s - started_s - _RESPONSE_TRANSIT_S
         request = pending.request
         account = pending.account.name if pending.account is not None else None
         data = encode_request(
             request.method,
             request.target,
-            self._contract.upstream_headers(request, upstream.name, left_s, account),
+            self._contract.upstream_headers(request, upstream.name, remaining_s, account),
             request.body,
         )
         expected_s = self._expected_duration_s(pending.service, upstream)
--- a/src/egretrail/gateway/_executor.py
+++ b/src/egretrail/gateway/_executor.py
@@ -191,7 +191,7 @@
                         self._view.sizes.observe(pending.route.name, len(result.received.body))
                         return self._contract.answer(result.received), "served"
                     self._record_failed_attempt(pending, choice, result)
-                    if self._may_retry_after(pending, result):
+                    if self._may_retry_after_failure(pending, result):
                         refusal = self._start_attempt(pending, running) or refusal
                 if self._loop.time() >= pending.deadline_s:
                     break
@@ -205,13 +205,13 @@
     ) -> None:
         """Wait until an attempt ends, the deadline passes or the request is due for hedging."""
         now_s = self._loop.time()
-        left_s = pending.deadline_s - now_s
+        remaining_s = pending.deadline_s - now_s
         hedge_s = self._hedge_delay_s(pending) if len(running) == 1 else None
-        timeout_s = left_s if hedge_s is None else min(left_s, hedge_s)
+        timeout_s = remaining_s if hedge_s is None else min(remaining_s, hedge_s)
         done, _ = await asyncio.wait(
             running, timeout=max(timeout_s, 0.0), return_when=asyncio.FIRST_COMPLETED
         )
-        if done or hedge_s is None or hedge_s >= left_s:
+        if done or hedge_s is None or hedge_s >= remaining_s:
             return
         pending.is_hedge_decided = True
         if self._may_retry(pending):
@@ -291,7 +291,7 @@
         priority = request_priority(pending.route, pending.account)
         return urgency.shortest_objective_s(pending.service, priority)
 
-    def _may_retry_after(self, pending: PendingRequest, result: AttemptResult) -> bool:
+    def _may_retry_after_failure(self, pending: PendingRequest, result: AttemptResult) -> bool:
         if result.disposition in UNSENT:
             return pending.unsent_count <= _UNSENT_MAX
         if result.disposition is Disposition.FAILED and not pending.is_retryable:
--- a/src/egretrail/gateway/tests/test_executor.py
+++ b/src/egretrail/gateway/tests/test_executor.py
@@ -209,7 +209,7 @@
 
         self._run_with_backend(scenario)
 
-    def test_a_request_refused_by_all_upstreams_is_told_the_typical_duration_as_retry_after(
+    def test_a_request_refused_by_all_upstreams_gets_the_typical_duration_as_retry_after(
         self,
     ) -> None:
         async def scenario(
