--- a/src/egretrail/gateway/_awaited_upstreams.py
+++ b/src/egretrail/gateway/_awaited_upstreams.py
@@ -1,33 +1,33 @@
-"""How long an instance has waited for a newer list of upstreams that it has heard of."""
+"""How long an instance has waited for a newer list of upstreams that a peer has reported."""
 
 from dataclasses import dataclass
 
-#: A newer list that is not here after this time is worth a line in the log.
+#: A newer list that has not arrived after this time is logged.
 _LATE_S = 1.0
 
 
 @dataclass(slots=True)
 class AwaitedUpstreams:
-    """The first revision that was heard of and has not come."""
+    """The first reported revision that has not arrived."""
 
-    #: The revision; 0 before any was heard of.
+    #: The reported revision; 0 before the first.
     revision: int = 0
     _since_s: float | None = None
-    _told: bool = False
+    _logged: bool = False
 
-    def heard_of(self, revision: int, now_s: float) -> float | None:
-        """Take a newer revision than the own; return how late it is, once for each wait."""
+    def record_advertised(self, revision: int, now_s: float) -> float | None:
+        """Record a peer's newer revision; return once per wait by how many seconds it is late."""
         if self._since_s is None:
             self._since_s = now_s
             self.revision = revision
         late_s = now_s - self._since_s
-        if self._told or late_s <= _LATE_S:
+        if self._logged or late_s <= _LATE_S:
             return None
-        self._told = True
+        self._logged = True
         return late_s
 
-    def arrived(self, revision: int) -> None:
-        """Take that the list of a revision is here."""
+    def record_arrival(self, revision: int) -> None:
+        """Record that the list of a revision has arrived."""
         if revision >= self.revision:
             self._since_s = None
-            self._told = False
+            self._logged = False
--- a/src/egretrail/gateway/_config_fetch.py
+++ b/src/egretrail/gateway/_config_fetch.py
@@ -1,4 +1,4 @@
-"""Fetches a configuration that is newer than the one in force, part by part."""
+"""Fetches a configuration that is newer than the one in force, chunk by chunk."""
 
 import asyncio
 import random
@@ -17,35 +17,38 @@
 from egretrail.gateway._interfaces import StartSettings
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peer_streams import (
-    SILENCE_S,
+    PEER_TIMEOUT_S,
     FetchFailed,
     PeerStream,
     PeerStreams,
     StateOffer,
 )
-from egretrail.gateway._peer_turns import PeerTurns
-from egretrail.gateway._upstreams_fetch import SPREAD_S
+from egretrail.gateway._peer_turns import ConcurrentFetches
+from egretrail.gateway._upstreams_fetch import FETCH_SPREAD_S
 from egretrail.gateway._view import FleetView
 
-#: A peer that had nothing newer yet is not asked again for this long.
-_NO_NEWER_PAUSE_S = 0.1
-#: A configuration of another zone's instance is fetched only if nobody of the own zone had it by
-#: then; a hub that takes over from a dead one needs some tenths of a second. Sooner at the start,
-#: before callers are served.
+#: A peer that turned out to have nothing newer is not asked again for this long.
+_NOT_NEWER_BACKOFF_S = 0.1
+#: The configuration of another zone's instance is fetched only if no instance of the own zone has
+#: supplied it by then; a hub that takes over from a failed one needs some tenths of a second. The
+#: delay is shorter at the start, before clients are served.
 _OTHER_ZONE_DELAY_S = 0.8
 _OTHER_ZONE_START_DELAY_S = 0.3
-#: After a fetch inside the own zone failed, other zones' instances are asked at once for this long.
-_OWN_ZONE_DISTRUST_S = 2.0
-#: How often an outline is asked for on one connection: parts of it may be replaced meanwhile.
-_OUTLINES_MAX = 8
-#: How often a fetch is told to ask another instance, or the same one again.
+#: For this long after a failed fetch inside the own zone, instances of other zones are asked
+#: without delay.
+_OWN_ZONE_FAILURE_S = 2.0
+#: The maximum number of manifests fetched on one connection, since chunks may be replaced
+#: meanwhile.
+_MANIFESTS_MAX = 8
+#: The maximum number of referrals that one fetch follows.
 _REFERRALS_MAX = 8
-#: An instance that another one named may be gone; the offer's own can be asked again.
-_REFERRED_SILENCE_S = 0.4
+#: The time-out of an instance named by a referral, which may be gone; the offer's sender can be
+#: asked again.
+_REFERRED_TIMEOUT_S = 0.4
 
 
 class ConfigFetch:
-    """Asks few peers at a time, and keeps the parts that arrived until they are a whole version."""
+    """Fetches from few peers at a time, and keeps received chunks until a version is complete."""
 
     def __init__(
         self,
@@ -61,34 +64,34 @@
         self._log = log
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._turns = PeerTurns()
-        self._arrived = PartsCollection()
-        #: Another zone's offer that waits for one of the own zone.
-        self._later: asyncio.Task[None] | None = None
+        self._fetches = ConcurrentFetches()
+        self._chunks = PartsCollection()
+        #: The pending delayed fetch from another zone.
+        self._delayed: asyncio.Task[None] | None = None
         #: When a fetch from an instance of the own zone last failed.
         self._own_zone_failed_s = float("-inf")
 
-    def offered(self, offer: StateOffer, *, at_once: bool) -> None:
-        """Fetch where a peer has a newer configuration."""
-        self._view.configs.heard_of(offer.config_version)
-        if not self._is_newer(offer) or self.is_paused(offer.address):
+    def handle_offer(self, offer: StateOffer, *, at_once: bool) -> None:
+        """Start a fetch if a peer has a newer configuration."""
+        self._view.configs.record_peer_version(offer.config_version)
+        if not self._is_newer(offer) or self.is_backed_off(offer.address):
             return
-        distrusted = self._loop.time() - self._own_zone_failed_s < _OWN_ZONE_DISTRUST_S
-        if self._is_of_own_zone(offer) or at_once or self._turns.is_asking or distrusted:
+        own_zone_failed = self._loop.time() - self._own_zone_failed_s < _OWN_ZONE_FAILURE_S
+        if self._is_of_own_zone(offer) or at_once or self._fetches.is_asking or own_zone_failed:
             self._ask(offer, is_hub=at_once)
-        elif self._later is None:
-            self._later = self._loop.create_task(self._ask_later(offer))
-            self._later.add_done_callback(self._asked_later)
+        elif self._delayed is None:
+            self._delayed = self._loop.create_task(self._ask_after_delay(offer))
+            self._delayed.add_done_callback(self._clear_delayed)
 
-    def is_paused(self, peer: str) -> bool:
-        """Return whether a peer has failed lately."""
-        return self._turns.pauses.holds(peer, self._loop.time())
+    def is_backed_off(self, peer: str) -> bool:
+        """Return whether a peer failed recently."""
+        return self._fetches.backoffs.is_backed_off(peer, self._loop.time())
 
     def stop(self) -> None:
-        """End what is under way."""
-        self._turns.stop()
-        if self._later is not None:
-            self._later.cancel()
+        """Cancel all fetches."""
+        self._fetches.cancel()
+        if self._delayed is not None:
+            self._delayed.cancel()
 
     def _is_newer(self, offer: StateOffer) -> bool:
         return offer.config_version > self._view.config_version
@@ -97,31 +100,32 @@
         return offer.availability_zone == self._settings.availability_zone
 
     def _ask(self, offer: StateOffer, *, is_hub: bool) -> None:
-        """Begin to ask an instance, unless others are asked already and have not fallen silent."""
+        """Start a fetch from a peer, unless others are in progress and have not stalled."""
         now_s = self._loop.time()
-        if self._turns.admits(offer.address, now_s):
-            self._turns.begin(offer.address, self._fetch(offer, is_hub=is_hub), now_s)
+        if self._fetches.may_start(offer.address, now_s):
+            self._fetches.start(offer.address, self._fetch(offer, is_hub=is_hub), now_s)
 
-    async def _ask_later(self, offer: StateOffer) -> None:
-        """Ask another zone's instance if nobody of the own zone has answered by then.
+    async def _ask_after_delay(self, offer: StateOffer) -> None:
+        """Fetch from another zone's instance if no instance of the own zone has supplied the
+        version.
 
-        Load: a zone hears of a version from the others before its own hub has it. If its instances
-        went there, one reader of the store would send the configuration to all zones.
+        A zone learns of a version from other zones before its own hub has it. If its instances
+        fetched it there at once, one reader of the store would send the configuration to all zones.
         """
         ready = self._view.ready
         await asyncio.sleep(_OTHER_ZONE_DELAY_S if ready else _OTHER_ZONE_START_DELAY_S)
         if self._is_newer(offer):
             self._ask(offer, is_hub=False)
 
-    def _asked_later(self, _: asyncio.Task[None]) -> None:
-        self._later = None
+    def _clear_delayed(self, _: asyncio.Task[None]) -> None:
+        self._delayed = None
 
     async def _fetch(self, offer: StateOffer, *, is_hub: bool) -> None:
         began_s = self._loop.time()
         try:
             if not is_hub and self._view.ready:
-                await asyncio.sleep(self._rng.random() * SPREAD_S)
-            await self._ask_in_turn(offer, is_hub=is_hub)
+                await asyncio.sleep(self._rng.random() * FETCH_SPREAD_S)
+            await self._fetch_following_referrals(offer, is_hub=is_hub)
             if not self._is_newer(offer):
                 self._log.event(
                     "config_fetched",
@@ -130,21 +134,21 @@
                     fetch_s=self._loop.time() - began_s,
                 )
         except Exception as error:
-            # The next offer begins another fetch, with the parts that have come.
-            failed = self._streams.failed(offer, error)
-            self._turns.pauses.failed(failed, self._loop.time())
+            # The next offer starts another fetch, which reuses the received chunks.
+            failed = self._streams.record_failure(offer, error)
+            self._fetches.backoffs.record_failure(failed, self._loop.time())
             if failed == offer.address and self._is_of_own_zone(offer):
                 self._own_zone_failed_s = self._loop.time()
 
-    async def _ask_in_turn(self, offer: StateOffer, *, is_hub: bool) -> None:
-        """Ask the instance that offers, and those that are named in its place."""
-        address, silence_s = offer.address, SILENCE_S
+    async def _fetch_following_referrals(self, offer: StateOffer, *, is_hub: bool) -> None:
+        """Fetch from the instance that sent the offer, and from those that referrals name."""
+        address, timeout_s = offer.address, PEER_TIMEOUT_S
         for _ in range(_REFERRALS_MAX):
-            async with self._streams.connected(address, silence_s) as peer:
+            async with self._streams.connected(address, timeout_s) as peer:
                 referral = await self._fetch_from(peer, address, offer, is_hub=is_hub)
             if referral is None:
                 if self._is_newer(offer):
-                    self._turns.pauses.begin(address, self._loop.time(), _NO_NEWER_PAUSE_S)
+                    self._fetches.backoffs.start(address, self._loop.time(), _NOT_NEWER_BACKOFF_S)
                     self._log.event(
                         "config_not_newer",
                         peer=address,
@@ -152,63 +156,65 @@
                         config_version=offer.config_version,
                     )
                 return
-            address, silence_s = offer.address, SILENCE_S
+            address, timeout_s = offer.address, PEER_TIMEOUT_S
             own = referral.address in ("", self._settings.ip)
-            if not own and not self.is_paused(referral.address):
-                address, silence_s = referral.address, _REFERRED_SILENCE_S
+            if not own and not self.is_backed_off(referral.address):
+                address, timeout_s = referral.address, _REFERRED_TIMEOUT_S
 
     async def _fetch_from(
         self, peer: PeerStream, address: str, offer: StateOffer, *, is_hub: bool
     ) -> Referral | None:
-        """Fetch a configuration from a peer, unless it names another one."""
-        for _ in range(_OUTLINES_MAX):
+        """Fetch a configuration from a peer; return a referral if it names another instance."""
+        for _ in range(_MANIFESTS_MAX):
             if not self._is_newer(offer):
                 return None
-            outline = await self._ask_outline(peer, is_hub=is_hub)
-            if isinstance(outline, Referral):
-                self._turns.moved(self._loop.time())
-                return outline
-            if outline.version <= self._view.config_version:
+            manifest = await self._request_manifest(peer, is_hub=is_hub)
+            if isinstance(manifest, Referral):
+                self._fetches.record_progress(self._loop.time())
+                return manifest
+            if manifest.version <= self._view.config_version:
                 return None
-            self._turns.moved(self._loop.time())
-            config = await self._collect(peer, outline)
+            self._fetches.record_progress(self._loop.time())
+            config = await self._collect(peer, manifest)
             if config is None:
                 continue
             if self._view.take_config(config, f"peer {address}"):
-                # It may name this instance to others now.
-                peer.tell(OutlineQuestion(config.digest, self._settings.ip, is_hub))
-                self._turns.stop(but=asyncio.current_task())
+                # The peer may now refer others to this instance.
+                peer.send(OutlineQuestion(config.digest, self._settings.ip, is_hub))
+                self._fetches.cancel(keep=asyncio.current_task())
             return None
         return None
 
-    async def _ask_outline(self, peer: PeerStream, *, is_hub: bool) -> ConfigOutline | Referral:
-        own = self._view.configs.parted
+    async def _request_manifest(
+        self, peer: PeerStream, *, is_hub: bool
+    ) -> ConfigOutline | Referral:
+        own = self._view.configs.chunked
         base = own.digest if own is not None else 0
-        question = OutlineQuestion(base, self._settings.ip, is_hub)
-        outline = await peer.ask(question, decode_outline)
-        if isinstance(outline, ConfigOutline) and not outline.head:
+        message = OutlineQuestion(base, self._settings.ip, is_hub)
+        manifest = await peer.request(message, decode_outline)
+        if isinstance(manifest, ConfigOutline) and not manifest.head:
             raise FetchFailed(MalformedMessage("no configuration"))
-        return outline
-
-    async def _collect(self, peer: PeerStream, outline: ConfigOutline) -> PartedConfig | None:
-        """Fetch what is missing of a peer's configuration; None where it has moved on meanwhile."""
-        own = self._view.configs.parted
-        self._arrived.keep_only(outline)
-        lacking = self._arrived.lacking(outline, own)
-        while lacking:
-            parts = await peer.ask(PartsQuestion(lacking), decode_parts)
-            self._turns.moved(self._loop.time())
-            if not parts:
+        return manifest
+
+    async def _collect(self, peer: PeerStream, manifest: ConfigOutline) -> PartedConfig | None:
+        """Fetch the missing chunks of a peer's configuration; None if it was replaced meanwhile."""
+        own = self._view.configs.chunked
+        self._chunks.keep_only(manifest)
+        missing = self._chunks.lacking(manifest, own)
+        while missing:
+            chunks = await peer.request(PartsQuestion(missing), decode_parts)
+            self._fetches.record_progress(self._loop.time())
+            if not chunks:
                 return None
-            for part in parts:
-                self._arrived.add(part)
-            before, lacking = lacking, self._arrived.lacking(outline, own)
-            if len(lacking) == len(before):
-                raise FetchFailed(MalformedMessage("parts that were not asked for"))
-            # Each reply is some milliseconds of work.
+            for chunk in chunks:
+                self._chunks.add(chunk)
+            before, missing = missing, self._chunks.lacking(manifest, own)
+            if len(missing) == len(before):
+                raise FetchFailed(MalformedMessage("chunks that were not requested"))
+            # Let other tasks run: decoding each reply takes some milliseconds.
             await asyncio.sleep(0)
-        config = self._arrived.join(outline, own)
-        self._arrived.clear()
+        config = self._chunks.join(manifest, own)
+        self._chunks.clear()
         if config is None:
-            raise FetchFailed(MalformedMessage("the parts are not those of the outline"))
+            raise FetchFailed(MalformedMessage("chunks do not match the manifest"))
         return config
--- a/src/egretrail/gateway/_config_state.py
+++ b/src/egretrail/gateway/_config_state.py
@@ -1,98 +1,101 @@
-"""The configuration in force on one instance, and what it knows of newer ones."""
+"""The configuration in force on one instance, and the newer versions that peers report."""
 
 from collections.abc import Callable
 
 from egretrail.cluster import KnownOutlines, PartedConfig
 from egretrail.traffic import AccountTable, FleetConfig, RouteTable, UrgencyTable
 
-#: Hubs name their version several times a second. After this silence an instance is cut off, and
-#: what it knows may be old.
-_WORD_S = 2.0
-#: A version that nobody has named for this long is not waited for: its only holder is gone, or it
-#: was a garbled word.
-_NEWEST_KEPT_S = 10.0
+#: Hubs report their version several times a second. After this silence, an instance is cut off and
+#: its configuration may be out of date.
+_REPORT_TIMEOUT_S = 2.0
+#: A newer version that no peer has reported for this long is no longer expected: its only holder is
+#: gone, or the report was corrupt.
+_NEWEST_REPORT_S = 10.0
 
 
 class ConfigState:
-    """Holds the newest configuration that arrived whole; versions only rise."""
+    """Holds the newest complete configuration; its version only increases."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        #: The configuration in its parts, as instances tell each other; None before one is known.
-        self.parted: PartedConfig | None = None
-        #: Its routes.
+        #: The configuration in chunks, as instances exchange it; None before one is known.
+        self.chunked: PartedConfig | None = None
+        #: The routes of the configuration.
         self.routes: RouteTable | None = None
-        #: Which of its requests are more urgent.
+        #: The latency objectives by which its requests are ranked.
         self.urgency: UrgencyTable | None = None
-        #: Its client accounts; None where requests need no API key.
+        #: The client accounts of the configuration; None if requests need no API key.
         self.accounts: AccountTable | None = None
-        #: What the last configurations consisted of, for instances that still have them.
-        self.outlines = KnownOutlines()
-        #: Whether the last reading of the configuration from the store succeeded.
+        #: The chunk digests of recent configurations, for peers that still have those.
+        self.manifests = KnownOutlines()
+        #: Whether the last read of the configuration from the store succeeded.
         self.reaches_store = False
-        #: The newest version that was named, and when last.
+        #: The newest version that a peer reported, and when it was last reported.
         self._newest_version = 0
         self._newest_s = float("-inf")
-        #: Since when a version is known of that has not arrived.
+        #: Since when a newer version is known that has not arrived; None if there is none.
         self._behind_since_s: float | None = None
-        #: When a peer last said which version it has.
-        self._heard_s = float("-inf")
+        #: When a peer last reported its version.
+        self._reported_s = float("-inf")
 
     @property
     def config(self) -> FleetConfig | None:
         """The configuration in force; None before one is known."""
-        return self.parted.config if self.parted is not None else None
+        return self.chunked.config if self.chunked is not None else None
 
     @property
     def version(self) -> int:
         """The version in force; 0 before one is known."""
-        return self.parted.config.version if self.parted is not None else 0
+        return self.chunked.config.version if self.chunked is not None else 0
 
     @property
     def behind_s(self) -> float:
-        """For how long a newer version than the one in force has been known of; 0 for none."""
-        self._forget_newest()
+        """How long a newer version than the one in force has been known; 0 if none is known."""
+        self._expire_newest()
         return 0.0 if self._behind_since_s is None else self._clock() - self._behind_since_s
 
-    def is_current(self, *, hears_fleet: bool) -> bool:
-        """Return whether no newer version is known of, and one would be heard of.
+    def is_current(self, *, fleet_reachable: bool) -> bool:
+        """Return whether no newer version is known, and one would have been learned of.
 
-        Load: a configuration of thousands of routes takes a moment on its way. Who denies a route
-        meanwhile that the operators have just added tells its caller that it will never be there.
-        ``hears_fleet`` is False where peers that are heard may be as cut off as this one.
+        A configuration of thousands of routes takes a moment to reach all instances. An instance
+        that denies a newly added route in that time tells its client that the route does not exist.
+        ``fleet_reachable`` is False if the peers whose reports arrive may be as cut off as this
+        instance.
         """
-        self._forget_newest()
+        self._expire_newest()
         if self._newest_version > self.version:
             return False
-        return self.reaches_store or (hears_fleet and self._clock() - self._heard_s < _WORD_S)
+        return self.reaches_store or (
+            fleet_reachable and self._clock() - self._reported_s < _REPORT_TIMEOUT_S
+        )
 
-    def heard_of(self, version: int) -> None:
-        """Take which version a peer has; 0 says nothing."""
+    def record_peer_version(self, version: int) -> None:
+        """Record a peer's version; 0 means that it has none."""
         if version == 0:
             return
-        self._heard_s = self._clock()
+        self._reported_s = self._clock()
         if version >= self._newest_version:
-            self._newest_version, self._newest_s = version, self._heard_s
+            self._newest_version, self._newest_s = version, self._reported_s
         if self._behind_since_s is None and version > self.version:
-            self._behind_since_s = self._heard_s
+            self._behind_since_s = self._reported_s
 
-    def take(self, parted: PartedConfig) -> bool:
-        """Put a configuration in force, unless the one in force is as new."""
-        if parted.config.version <= self.version:
+    def apply(self, chunked: PartedConfig) -> bool:
+        """Put a configuration in force; return False if the one in force is as new or newer."""
+        if chunked.config.version <= self.version:
             return False
-        self.parted = parted
-        self.routes = RouteTable(parted.config)
-        self.urgency = UrgencyTable(parted.config)
-        accounts = parted.config.accounts
+        self.chunked = chunked
+        self.routes = RouteTable(chunked.config)
+        self.urgency = UrgencyTable(chunked.config)
+        accounts = chunked.config.accounts
         self.accounts = None if accounts is None else AccountTable(accounts)
-        self.outlines.remember(parted)
-        if parted.config.version >= self._newest_version:
-            self._newest_version, self._newest_s = parted.config.version, self._clock()
+        self.manifests.remember(chunked)
+        if chunked.config.version >= self._newest_version:
+            self._newest_version, self._newest_s = chunked.config.version, self._clock()
             self._behind_since_s = None
         return True
 
-    def _forget_newest(self) -> None:
-        late = self._clock() - self._newest_s > _NEWEST_KEPT_S
-        if self._newest_version > self.version and late:
+    def _expire_newest(self) -> None:
+        is_stale = self._clock() - self._newest_s > _NEWEST_REPORT_S
+        if self._newest_version > self.version and is_stale:
             self._newest_version = self.version
             self._behind_since_s = None
--- a/src/egretrail/gateway/_fetch_places.py
+++ b/src/egretrail/gateway/_fetch_places.py
@@ -1,72 +1,77 @@
-"""Who is sent much of a configuration at a time, and whom the others are told to ask."""
+"""Limits concurrent transfers of a configuration, and refers requesters to other sources."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-#: Instances that are sent much at a time: three replies of a few kilobytes wait for a link of
-#: 10 Mbit/s some 20 ms, and what a hub has to tell not much longer.
-_PLACES = 3
-#: The same with hubs, each of which has a zone waiting: one of each zone.
-_PLACES_WITH_HUBS = 12
-#: Whoever asks for nothing more for this long leaves its place to others until it goes on: it is
-#: dead, frozen, or waits for something that was lost. Three replies take some 20 ms.
-_LAPSE_S = 0.12
-#: An asker waits so long for a place, less than the time after which it asks another peer beside.
+#: The number of concurrent transfers: three replies of a few kilobytes occupy a link of 10 Mbit/s
+#: for some 20 ms, and a hub's sections are delayed little longer.
+_SLOTS = 3
+#: The limit while hubs are served, one of each zone: each has a whole zone waiting.
+_SLOTS_WITH_HUBS = 12
+#: A slot whose holder requests nothing for this long is given to others until the holder goes on:
+#: it has failed, is paused, or waits for a lost packet. Three replies take some 20 ms.
+_SLOT_IDLE_S = 0.12
+#: The maximum wait for a slot; less than the time after which a requester asks another peer as
+#: well.
 _WAIT_S = 0.2
-#: An instance that has got all is named to so many, then rests for the time that these take.
-_NAMED_MAX, _REST_S = 3, 0.25
-#: After this time it is no longer named: it may be gone.
-_NAMED_S = 5.0
+#: A source is named to so many requesters, then rests for the time that those transfers take.
+_REFERRALS_PER_SOURCE, _REST_S = 3, 0.25
+#: After this time a source is no longer named, since it may be gone.
+_SOURCE_S = 5.0
 
 
 @dataclass(slots=True)
-class _Teller:
-    """An instance that was sent all of a configuration."""
+class _Source:
+    """An instance that has received a whole configuration."""
 
-    #: The digest of the configuration.
+    #: The digest of its configuration.
     digest: int
-    #: Until when it is named.
+    #: Until when it may be named.
     until_s: float
     #: How often it was named since its last rest.
-    named: int = 0
-    #: When it is named again.
-    rested_s: float = float("-inf")
+    referral_count: int = 0
+    #: When its rest ends.
+    rests_until_s: float = float("-inf")
 
 
 @dataclass(slots=True)
-class FetchPlaces:
-    """The places for those that are sent much.
+class TransferSlots:
+    """Slots for large transfers of a configuration.
 
-    Load: 70 instances of a zone ask at the same moment for 60 KB each. Sent to all at once over a
-    link of 10 Mbit/s nobody has all of it for two seconds, and the hub's word is lost behind it.
-    Sent to three at a time, each of whom tells three others, all have it after a second.
+    All 70 instances of a zone may request 60 KB each at the same moment. If all were served at once
+    over a link of 10 Mbit/s, none would have the configuration for two seconds, and the hub's
+    sections would be lost behind it. With three transfers at a time, and each receiver serving
+    three others, all have it after a second.
     """
 
     #: The clock.
     clock: Callable[[], float]
-    #: The zone of an instance; None for one that is not known to live.
+    #: Returns the zone of an instance; None for one that is not known to be alive.
     zone_of: Callable[[str], str | None]
-    #: The digest of the configuration in force here; 0 for none.
-    held: Callable[[], int]
-    _taken: dict[int, float] = field(default_factory=dict)
-    _tellers: dict[str, _Teller] = field(default_factory=dict)
+    #: Returns the digest of the configuration in force here; 0 if there is none.
+    held_digest: Callable[[], int]
+    _holders: dict[int, float] = field(default_factory=dict)
+    _sources: dict[str, _Source] = field(default_factory=dict)
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def admit(self, visit: int, asker: str, *, is_hub: bool) -> str | None:
-        """Give a place; else return whom to ask, empty for this instance again."""
-        places = _PLACES_WITH_HUBS if is_hub else _PLACES
+    async def acquire(self, connection_id: int, requester: str, *, is_hub: bool) -> str | None:
+        """Acquire a slot and return None, or return another source.
+
+        An empty address means that the requester should ask this instance again.
+        """
+        slots = _SLOTS_WITH_HUBS if is_hub else _SLOTS
         deadline_s = self.clock() + _WAIT_S
         while True:
             now_s = self.clock()
             self._forget_old(now_s)
-            in_use = [until_s for until_s in self._taken.values() if until_s > now_s]
-            if visit in self._taken or len(in_use) < places:
-                self._taken[visit] = now_s + _LAPSE_S
+            in_use = [until_s for until_s in self._holders.values() if until_s > now_s]
+            if connection_id in self._holders or len(in_use) < slots:
+                self._holders[connection_id] = now_s + _SLOT_IDLE_S
                 return None
-            teller = self._name(asker, now_s)
-            if teller or now_s >= deadline_s:
-                return teller
+            source = self._pick_source(requester, now_s)
+            if source or now_s >= deadline_s:
+                return source
             wait_s = min(deadline_s, *in_use) - now_s
             try:
                 async with asyncio.timeout(max(wait_s, 0.01)):
@@ -74,45 +79,45 @@
             except TimeoutError:
                 continue
 
-    def keep(self, visit: int) -> None:
-        """Take that one with a place asks for more."""
-        if visit in self._taken:
-            self._taken[visit] = self.clock() + _LAPSE_S
-
-    def leave(self, visit: int) -> None:
-        """Free a place."""
-        if self._taken.pop(visit, None) is not None:
-            self._wake()
-
-    def completed(self, asker: str) -> None:
-        """Take that an instance has the configuration in force here, and can tell others."""
-        self._tellers[asker] = _Teller(self.held(), self.clock() + _NAMED_S)
-        self._wake()
-
-    def _name(self, asker: str, now_s: float) -> str:
-        # Nobody is told to ask a hub of another zone that was told here.
-        own = self.zone_of(asker)
-        for address, teller in self._tellers.items():
+    def renew(self, connection_id: int) -> None:
+        """Extend the slot of a connection that requests more."""
+        if connection_id in self._holders:
+            self._holders[connection_id] = self.clock() + _SLOT_IDLE_S
+
+    def release(self, connection_id: int) -> None:
+        """Release the slot of a connection."""
+        if self._holders.pop(connection_id, None) is not None:
+            self._notify_waiters()
+
+    def add_source(self, requester: str) -> None:
+        """Add an instance that has the configuration in force here as a source for others."""
+        self._sources[requester] = _Source(self.held_digest(), self.clock() + _SOURCE_S)
+        self._notify_waiters()
+
+    def _pick_source(self, requester: str, now_s: float) -> str:
+        # No requester is referred to a hub of another zone that fetched from here.
+        own = self.zone_of(requester)
+        for address, source in self._sources.items():
             zone = self.zone_of(address)
-            if address == asker or teller.rested_s > now_s or zone is None:
+            if address == requester or source.rests_until_s > now_s or zone is None:
                 continue
             if own not in (None, zone):
                 continue
-            teller.named += 1
-            if teller.named >= _NAMED_MAX:
-                teller.named, teller.rested_s = 0, now_s + _REST_S
+            source.referral_count += 1
+            if source.referral_count >= _REFERRALS_PER_SOURCE:
+                source.referral_count, source.rests_until_s = 0, now_s + _REST_S
             return address
         return ""
 
     def _forget_old(self, now_s: float) -> None:
-        held = self.held()
+        held = self.held_digest()
         for address in [
             one
-            for one, teller in self._tellers.items()
-            if teller.until_s <= now_s or teller.digest != held
+            for one, source in self._sources.items()
+            if source.until_s <= now_s or source.digest != held
         ]:
-            del self._tellers[address]
+            del self._sources[address]
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/src/egretrail/gateway/_instance_listing.py
+++ b/src/egretrail/gateway/_instance_listing.py
@@ -1,4 +1,4 @@
-"""The list of a zone's instances in the store, for those that start and know no peer."""
+"""The lists of the zones' instances in the store, for instances that start without peers."""
 
 import asyncio
 import ipaddress
@@ -12,14 +12,14 @@
 from egretrail.gateway._view import FleetView
 from egretrail.store import Store
 
-#: The list follows the membership at most this often.
+#: The minimum interval between two updates of the list.
 _INTERVAL_S = 2.0
-#: Addresses that are taken from the list of each zone.
+#: The number of addresses used from the list of each zone.
 _SEEDS_EACH = 3
 
 
 class InstanceListing:
-    """Reads the lists of all zones at the start, and keeps the own zone's while this is its hub."""
+    """Reads the lists of all zones at the start, and maintains the own zone's as the hub."""
 
     def __init__(
         self,
@@ -36,16 +36,16 @@
         self._layout = layout
         self._peers = peers
         self._log = log
-        #: The instances that the list is known to have.
+        #: The instances that the stored list is known to contain.
         self._listed: frozenset[str] = frozenset()
 
     def use_store(self, store: Store) -> None:
         """Send the next calls to another address of the store."""
         self._store = store
-        self.write_again()
+        self.invalidate()
 
-    def write_again(self) -> None:
-        """Take the list as lost."""
+    def invalidate(self) -> None:
+        """Discard what is known of the stored list, so that it is written again."""
         self._listed = frozenset()
 
     async def run(self) -> None:
@@ -79,16 +79,17 @@
             self._log.event("listing_unread", cause=read.err_value)
             return
         entry = read.ok_value
-        held = frozenset(_addresses(entry.value)) if entry is not None else frozenset()
-        if not alive <= held:
+        stored = frozenset(_addresses(entry.value)) if entry is not None else frozenset()
+        if not alive <= stored:
             revision = entry.revision if entry is not None else 0
             written = await self._store.put(path, json.dumps(sorted(alive)), revision)
             if isinstance(written, Err):
-                # Another relay wrote, or the reply was lost: the next round reads what is there.
+                # Another instance wrote the list, or the reply was lost: the next round reads it
+                # again.
                 self._log.event("listing_unwritten", cause=written.err_value)
                 return
-            held = alive
-        self._listed = held
+            stored = alive
+        self._listed = stored
 
 
 def _addresses(value: str | None) -> list[str]:
--- a/src/egretrail/gateway/_introducer.py
+++ b/src/egretrail/gateway/_introducer.py
@@ -1,4 +1,4 @@
-"""Tells instances of others that they may not know."""
+"""Introduces instances to peers that may not know them."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -6,12 +6,13 @@
 from egretrail.cluster import Instance, Introduction, encode_introduction
 from egretrail.gateway._view import FleetView
 
-#: The same instance is answered with an introduction at most this often.
+#: The minimum interval between two introductions in reply to the same instance.
 _INTERVAL_S = 0.2
-#: An introduction names so many instances of the receiver's zone, and of each other zone.
-_NEAR_MAX, _FAR_MAX = 60, 3
-#: Instances that are remembered as answered; forgetting them costs one more answer each.
-_ANSWERED_MAX = 1_000
+#: The number of instances that an introduction names of the receiver's zone, and of each other
+#: zone.
+_SAME_ZONE_MAX, _OTHER_ZONE_MAX = 60, 3
+#: The number of remembered receivers; forgetting them costs one more reply each.
+_REPLIED_MAX = 1_000
 
 
 class Introducer:
@@ -21,40 +22,40 @@
         self,
         view: FleetView,
         send: Callable[[bytes, str], None],
-        bytes_across: Counter[str],
+        cross_zone_bytes: Counter[str],
     ) -> None:
         self._view = view
         self._send = send
-        self._bytes_across = bytes_across
-        self._answered_s: dict[str, float] = {}
+        self._cross_zone_bytes = cross_zone_bytes
+        self._replied_s: dict[str, float] = {}
 
-    def answer(self, address: str, availability_zone: str, now_s: float) -> None:
-        """Tell an instance whom this one knows of its zone, and some of each other zone."""
-        if now_s - self._answered_s.get(address, float("-inf")) < _INTERVAL_S:
+    def reply(self, address: str, availability_zone: str, now_s: float) -> None:
+        """Introduce instances of the receiver's zone, and some of each other zone."""
+        if now_s - self._replied_s.get(address, float("-inf")) < _INTERVAL_S:
             return
-        if len(self._answered_s) >= _ANSWERED_MAX:
-            self._answered_s.clear()
-        self._answered_s[address] = now_s
-        self.tell(self._named_to(availability_zone), address)
+        if len(self._replied_s) >= _REPLIED_MAX:
+            self._replied_s.clear()
+        self._replied_s[address] = now_s
+        self.introduce(self._instances_for(availability_zone), address)
 
-    def tell(self, instances: Sequence[Instance], target: str) -> None:
-        """Name some instances, and this one, to another."""
+    def introduce(self, instances: Sequence[Instance], target: str) -> None:
+        """Introduce some instances, and this one, to a peer."""
         view = self._view
         introduction = Introduction(
             view.own_instance(), view.config_version, view.upstreams.revision, instances
         )
         known = view.membership.named(target)
-        across = known is None or known.availability_zone != view.own_zone
+        is_cross_zone = known is None or known.availability_zone != view.own_zone
         for data in encode_introduction(introduction):
-            if across:
-                self._bytes_across["introductions"] += len(data)
+            if is_cross_zone:
+                self._cross_zone_bytes["introductions"] += len(data)
             self._send(data, target)
 
-    def _named_to(self, availability_zone: str) -> Sequence[Instance]:
+    def _instances_for(self, availability_zone: str) -> Sequence[Instance]:
         membership = self._view.membership
-        named: list[Instance] = []
+        introduced: list[Instance] = []
         for zone in membership.zones():
-            count = _NEAR_MAX if zone == availability_zone else _FAR_MAX
+            count = _SAME_ZONE_MAX if zone == availability_zone else _OTHER_ZONE_MAX
             known = [membership.named(address) for address in membership.order(zone)[:count]]
-            named += [instance for instance in known if instance is not None]
-        return named
+            introduced += [instance for instance in known if instance is not None]
+        return introduced
--- a/src/egretrail/gateway/_peer_streams.py
+++ b/src/egretrail/gateway/_peer_streams.py
@@ -1,4 +1,4 @@
-"""Connections to peers that are asked for newer state, and which of them are left out."""
+"""Connections to peers for fetching state, and the back-off of peers that failed."""
 
 import asyncio
 import contextlib
@@ -15,19 +15,19 @@
 
 T = TypeVar("T")
 
-#: A peer that is asked and of which nothing arrives for this long is taken as cut off.
-SILENCE_S = 0.7
-#: A connection that is not there by then is tried anew: a lost first segment is sent again by the
-#: system after a second only, when the peer would be taken as cut off.
-_CONNECT_AGAIN_S = 0.2
-#: A peer that failed is not asked again for this long, so that another one that offers is; for
-#: twice as long each time that it fails soon after, up to the maximum.
-_FAILED_PAUSE_S, _FAILED_PAUSE_MAX_S = 0.5, 2.0
+#: A peer from which nothing arrives for this long is taken as unreachable.
+PEER_TIMEOUT_S = 0.7
+#: A connection that is not established by then is tried again: the system retransmits a lost first
+#: segment only after a second, when the peer would already be taken as unreachable.
+_RECONNECT_S = 0.2
+#: A peer that failed is not asked again for this long, so that another peer with an offer is. The
+#: time doubles with each failure soon after the last, up to the maximum.
+_BACKOFF_S, _BACKOFF_MAX_S = 0.5, 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class StateOffer:
-    """What an instance says that it can be asked for."""
+    """The versions that an instance offers to its peers."""
 
     #: Its address.
     address: str
@@ -40,14 +40,14 @@
 
 
 class FetchFailed(Exception):  # noqa: N818 - named for what happened
-    """A peer's reply could not be read."""
+    """A peer's reply was malformed."""
 
     def __init__(self, failure: MalformedMessage) -> None:
         super().__init__(str(failure))
 
 
 class PeerFailed(Exception):  # noqa: N818 - named for what happened
-    """A peer that was asked did not answer, or not in its turn."""
+    """A peer did not answer in time, or its answer was unusable."""
 
     def __init__(self, address: str, cause: Exception) -> None:
         super().__init__(f"{address}: {cause!r}")
@@ -57,32 +57,32 @@
 
 @dataclass(slots=True)
 class PeerStream:
-    """A connection to a peer that is asked."""
+    """A connection to a peer from which state is fetched."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    #: Bytes that arrived.
+    #: The number of received bytes.
     received_bytes: int = 0
 
-    async def ask(
-        self, question: Question, decode: Callable[[bytes], Result[T, MalformedMessage]]
+    async def request(
+        self, message: Question, decode: Callable[[bytes], Result[T, MalformedMessage]]
     ) -> T:
-        """Send a question and return the reply."""
-        self.tell(question)
-        data = await read_frame(self.reader, SILENCE_S)
+        """Send a fetch message and return the decoded reply."""
+        self.send(message)
+        data = await read_frame(self.reader, PEER_TIMEOUT_S)
         self.received_bytes += len(data)
         decoded = decode(data)
         if isinstance(decoded, Err):
             raise FetchFailed(decoded.err_value)
         return decoded.ok_value
 
-    def tell(self, question: Question) -> None:
-        """Send a question whose reply is not waited for."""
-        write_frame(self.writer, encode_question(question))
+    def send(self, message: Question) -> None:
+        """Send a fetch message without waiting for the reply."""
+        write_frame(self.writer, encode_question(message))
 
 
 @dataclass(frozen=True, slots=True)
-class _Pause:
+class _Backoff:
     """A time in which a peer is not asked."""
 
     #: When it ends.
@@ -92,47 +92,51 @@
 
 
 @dataclass(slots=True)
-class Pauses:
+class PeerBackoffs:
     """Peers that failed and are not asked for a while."""
 
-    _pauses: dict[str, _Pause] = field(default_factory=dict)
+    _backoffs: dict[str, _Backoff] = field(default_factory=dict)
 
-    def holds(self, peer: str, now_s: float) -> bool:
-        """Return whether a peer is not to be asked."""
-        pause = self._pauses.get(peer)
-        return pause is not None and pause.until_s > now_s
+    def is_backed_off(self, peer: str, now_s: float) -> bool:
+        """Return whether a peer is backed off."""
+        backoff = self._backoffs.get(peer)
+        return backoff is not None and backoff.until_s > now_s
 
-    def failed(self, peer: str, now_s: float) -> None:
-        """Begin a pause after a failure."""
-        before = self._pauses.get(peer)
+    def record_failure(self, peer: str, now_s: float) -> None:
+        """Back off a peer that failed."""
+        before = self._backoffs.get(peer)
         again = before is not None and now_s < before.until_s + before.length_s
         length_s = before.length_s * 2 if before is not None and again else 0.0
-        self.begin(peer, now_s, min(max(length_s, _FAILED_PAUSE_S), _FAILED_PAUSE_MAX_S))
+        self.start(peer, now_s, min(max(length_s, _BACKOFF_S), _BACKOFF_MAX_S))
 
-    def begin(self, peer: str, now_s: float, length_s: float) -> None:
-        """Begin a pause, and forget those that are long over."""
-        old = [who for who, it in self._pauses.items() if it.until_s + it.length_s < now_s]
-        for who in old:
-            del self._pauses[who]
-        self._pauses[peer] = _Pause(now_s + length_s, length_s)
+    def start(self, peer: str, now_s: float, length_s: float) -> None:
+        """Back off a peer for a time, and forget entries that ended long ago."""
+        old = [
+            address
+            for address, backoff in self._backoffs.items()
+            if backoff.until_s + backoff.length_s < now_s
+        ]
+        for address in old:
+            del self._backoffs[address]
+        self._backoffs[peer] = _Backoff(now_s + length_s, length_s)
 
 
 class PeerStreams:
-    """Opens connections to peers and counts what comes of them."""
+    """Opens connections to peers and counts the fetched bytes and failures."""
 
     def __init__(self, settings: StartSettings, log: EventLog) -> None:
         self._settings = settings
         self._log = log
-        #: Bytes of replies that arrived, and fetches that failed.
+        #: The bytes of received replies, and the number of failed fetches.
         self.fetched_bytes = self.fetches_failed = 0
 
     @contextlib.asynccontextmanager
     async def connected(
-        self, address: str, silence_s: float = SILENCE_S
+        self, address: str, timeout_s: float = PEER_TIMEOUT_S
     ) -> AsyncIterator[PeerStream]:
-        """Connect to a peer for some questions; raises PeerFailed for whatever goes wrong."""
+        """Connect to a peer; raises PeerFailed for any error."""
         try:
-            peer = PeerStream(*await self._open(address, silence_s))
+            peer = PeerStream(*await self._open(address, timeout_s))
             try:
                 yield peer
             finally:
@@ -141,8 +145,8 @@
         except Exception as error:
             raise PeerFailed(address, error) from error
 
-    def failed(self, offer: StateOffer, error: Exception) -> str:
-        """Log a fetch that failed; return the address of the peer that did."""
+    def record_failure(self, offer: StateOffer, error: Exception) -> str:
+        """Log a failed fetch; return the address of the peer that failed."""
         address, cause = offer.address, error
         if isinstance(error, PeerFailed):
             address, cause = error.address, error.cause
@@ -157,11 +161,11 @@
         return address
 
     async def _open(
-        self, address: str, silence_s: float
+        self, address: str, timeout_s: float
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         port = self._settings.peer_port
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_CONNECT_AGAIN_S):
+            async with asyncio.timeout(_RECONNECT_S):
                 return await asyncio.open_connection(address, port)
-        async with asyncio.timeout(silence_s - _CONNECT_AGAIN_S):
+        async with asyncio.timeout(timeout_s - _RECONNECT_S):
             return await asyncio.open_connection(address, port)
--- a/src/egretrail/gateway/_state_answers.py
+++ b/src/egretrail/gateway/_state_answers.py
@@ -1,4 +1,4 @@
-"""Answers what peers ask of this instance's upstreams and configuration."""
+"""Serves the upstreams and the configuration of this instance to peers."""
 
 import asyncio
 import contextlib
@@ -23,28 +23,28 @@
     encode_referral,
     encode_upstreams,
 )
-from egretrail.gateway._fetch_places import FetchPlaces
+from egretrail.gateway._fetch_places import TransferSlots
 from egretrail.gateway._frames import read_frame, write_frame
 from egretrail.gateway._view import FleetView
 
 T = TypeVar("T")
 
-#: A peer that asked once keeps its connection for the next question for this long.
-_NEXT_QUESTION_S = 2.0
-#: Whoever lacks less of a configuration is sent it at once.
+#: A connection is kept for the next fetch for this long.
+_IDLE_S = 2.0
+#: A requester that lacks less than this of a configuration needs no transfer slot.
 _SMALL_BYTES = 65_536
-#: Replies that are kept for others with the same question, some kilobytes each.
+#: The number of cached replies, of some kilobytes each.
 _REPLIES_MAX = 32
 
 
 @dataclass(slots=True)
-class _Replies(Generic[T]):
-    """The last replies by what they answer: a whole zone asks the same."""
+class _ReplyCache(Generic[T]):
+    """A cache of the last replies by request: a whole zone sends the same one."""
 
     _made: OrderedDict[object, T] = field(default_factory=OrderedDict)
 
     def get(self, key: object, make: Callable[[], T]) -> T:
-        """Return the reply to a question, made where nobody asked the same before."""
+        """Return the cached reply to a request, or make it."""
         reply = self._made.get(key)
         if reply is None:
             reply = self._made[key] = make()
@@ -54,109 +54,112 @@
 
 
 class StateAnswers:
-    """Serves the connections of peers that ask."""
+    """Serves the connections of peers that fetch state."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
-        self._replies: _Replies[bytes] = _Replies()
-        #: Outlines, and whether they lack much.
-        self._outlines: _Replies[tuple[bytes, bool]] = _Replies()
-        self._places = FetchPlaces(asyncio.get_running_loop().time, self._zone_of, self._held)
-        self._visits = 0
+        self._replies: _ReplyCache[bytes] = _ReplyCache()
+        #: Manifests, and whether a requester lacks much of the configuration.
+        self._manifests: _ReplyCache[tuple[bytes, bool]] = _ReplyCache()
+        self._slots = TransferSlots(
+            asyncio.get_running_loop().time, self._zone_of, self._held_digest
+        )
+        self._connections = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the questions on one connection until it ends."""
-        self._visits += 1
-        visit = self._visits
+        """Serve the fetches on one connection until it ends."""
+        self._connections += 1
+        connection_id = self._connections
         try:
             while True:
-                decoded = decode_question(await read_frame(reader, _NEXT_QUESTION_S))
+                decoded = decode_question(await read_frame(reader, _IDLE_S))
                 if isinstance(decoded, Err):
                     return
-                write_frame(writer, await self.reply_to(decoded.ok_value, visit))
-                async with asyncio.timeout(_NEXT_QUESTION_S):
+                write_frame(writer, await self.reply_to(decoded.ok_value, connection_id))
+                async with asyncio.timeout(_IDLE_S):
                     await writer.drain()
         except (TimeoutError, OSError, EOFError, ValueError):
-            # The asker closed the connection, or tells of its failure; here nothing has changed.
+            # The requester closed the connection or sent a malformed message; no state has changed.
             return
         finally:
-            self._places.leave(visit)
+            self._slots.release(connection_id)
             with contextlib.suppress(OSError):
                 writer.close()
 
-    async def reply_to(self, question: Question, visit: int) -> bytes:
-        """Return the reply to a question on a connection of a number."""
-        match question:
+    async def reply_to(self, message: Question, connection_id: int) -> bytes:
+        """Return the reply to a fetch on the connection with an id."""
+        match message:
             case UpstreamsQuestion():
-                return self.upstreams_reply(question)
+                return self.upstreams_reply(message)
             case OutlineQuestion():
-                return await self._outline_reply(question, visit)
+                return await self._manifest_reply(message, connection_id)
             case PartsQuestion(wanted):
-                self._places.keep(visit)
-                return self._parts_reply(wanted)
+                self._slots.renew(connection_id)
+                return self._chunks_reply(wanted)
 
-    def upstreams_reply(self, asked: UpstreamsQuestion) -> bytes:
-        """Return what changed of the upstreams, or all of them."""
+    def upstreams_reply(self, message: UpstreamsQuestion) -> bytes:
+        """Return the changes of the upstreams since a revision, or the whole list."""
         view = self._view
         revision = view.upstreams.revision
 
         def make() -> bytes:
-            newer = revision > asked.revision
-            changes = view.upstreams.changes_since(asked.revision) if newer else None
+            newer = revision > message.revision
+            changes = view.upstreams.changes_since(message.revision) if newer else None
             reply = UpstreamsReply(
                 revision,
                 upstreams=list(view.upstreams) if newer and changes is None else None,
                 changes=changes,
-                doubts=view.doubts() if asked.with_doubts else (),
+                doubts=view.suspicions() if message.with_doubts else (),
             )
             return encode_upstreams(reply)
 
-        if asked.with_doubts:
-            # Doubts change without a revision.
+        if message.with_doubts:
+            # Suspicions change without a new revision, so this reply is not cached.
             return make()
-        # A drop goes with no revision; a reply from before it would list what was dropped.
-        return self._replies.get((view.upstreams.edition, asked), make)
-
-    async def _outline_reply(self, asked: OutlineQuestion, visit: int) -> bytes:
-        reply, much = self._outline(asked.base)
-        if not much:
-            config = self._view.configs.parted
-            if config is not None and config.digest == asked.base and asked.asker:
-                self._places.completed(asked.asker)
+        # A drop has no new revision; a reply from before it would list what was dropped.
+        return self._replies.get((view.upstreams.edition, message), make)
+
+    async def _manifest_reply(self, message: OutlineQuestion, connection_id: int) -> bytes:
+        reply, lacks_much = self._manifest(message.base)
+        if not lacks_much:
+            config = self._view.configs.chunked
+            if config is not None and config.digest == message.base and message.asker:
+                self._slots.add_source(message.asker)
             return reply
-        teller = await self._places.admit(visit, asked.asker, is_hub=asked.is_hub)
-        if teller is not None:
-            return encode_referral(Referral(teller))
-        # Another version may be in force by now.
-        return self._outline(asked.base)[0]
-
-    def _outline(self, base: int) -> tuple[bytes, bool]:
-        """Return an outline for those that have a configuration, and whether they lack much."""
-        config = self._view.configs.parted
+        source = await self._slots.acquire(connection_id, message.asker, is_hub=message.is_hub)
+        if source is not None:
+            return encode_referral(Referral(source))
+        # Another version may have come into force while waiting for a slot.
+        return self._manifest(message.base)[0]
+
+    def _manifest(self, base: int) -> tuple[bytes, bool]:
+        """Return the manifest relative to a base, and whether much is missing from that base."""
+        config = self._view.configs.chunked
         if config is None:
             return encode_outline(ConfigOutline(b"", 0, 0, {})), False
 
         def make() -> tuple[bytes, bool]:
-            outline = self._view.configs.outlines.outline(config, base)
-            lacking_bytes = sum(len(config.parts[number].packed) for number in outline.changed)
-            return encode_outline(outline), lacking_bytes > _SMALL_BYTES
-
-        return self._outlines.get((config.digest, base), make)
-
-    def _parts_reply(self, wanted: Mapping[int, int]) -> bytes:
-        config = self._view.configs.parted
-        held = config.parts if config is not None else ()
-        # What has been replaced since the outline is left out: the asker asks for another one.
-        parts = [
-            held[number]
+            manifest = self._view.configs.manifests.outline(config, base)
+            missing_bytes = sum(len(config.parts[number].packed) for number in manifest.changed)
+            return encode_outline(manifest), missing_bytes > _SMALL_BYTES
+
+        return self._manifests.get((config.digest, base), make)
+
+    def _chunks_reply(self, wanted: Mapping[int, int]) -> bytes:
+        config = self._view.configs.chunked
+        chunks = config.parts if config is not None else ()
+        # Chunks that were replaced since the manifest are left out; the requester fetches a new
+        # manifest.
+        selected = [
+            chunks[number]
             for number, digest in wanted.items()
-            if held and held[number].digest == digest
+            if chunks and chunks[number].digest == digest
         ]
-        key = tuple(part.digest for part in parts)
-        return self._replies.get(key, lambda: encode_parts(parts))
+        key = tuple(chunk.digest for chunk in selected)
+        return self._replies.get(key, lambda: encode_parts(selected))
 
-    def _held(self) -> int:
-        config = self._view.configs.parted
+    def _held_digest(self) -> int:
+        config = self._view.configs.chunked
         return 0 if config is None else config.digest
 
     def _zone_of(self, address: str) -> str | None:
--- a/src/egretrail/gateway/_state_exchange.py
+++ b/src/egretrail/gateway/_state_exchange.py
@@ -1,4 +1,4 @@
-"""The peers' streams: fetching newer upstreams and configurations, and giving them."""
+"""Streams between peers: fetches newer upstreams and configurations, and serves them."""
 
 import asyncio
 import random
@@ -12,15 +12,15 @@
 from egretrail.gateway._upstreams_fetch import UpstreamsFetch
 from egretrail.gateway._view import FleetView
 
-#: Connections that wait to be taken: a whole zone may ask at once.
+#: The listen backlog: a whole zone may connect at once.
 _BACKLOG = 512
 
 
 class StateExchange:
-    """Fetches what a peer knows and this instance does not, from few peers at a time.
+    """Fetches what a peer has and this instance lacks, from few peers at a time.
 
-    Changes of upstreams, all upstreams and configurations are fetched beside each other: neither a
-    large configuration nor a long list must keep the word that an upstream is leaving.
+    Changes of upstreams, whole lists and configurations are fetched concurrently: neither a large
+    configuration nor a long list may delay the report that an upstream is draining.
     """
 
     def __init__(
@@ -29,42 +29,44 @@
         self._settings = settings
         self._view = view
         self._rng = rng
-        #: Connections to peers, and what they have brought.
+        #: Connections to peers, and the metrics of fetches.
         self.streams = PeerStreams(settings, log)
         self._upstreams = UpstreamsFetch(settings, view, self.streams, rng)
         self._config = ConfigFetch(settings, view, self.streams, log, rng)
-        #: Answers peers.
+        #: Serves the fetches of peers.
         self.answers = StateAnswers(view)
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen for peers' questions."""
+        """Listen for the fetches of peers."""
         address = (self._settings.ip, self._settings.peer_port)
         self._server = await asyncio.start_server(self.answers.serve, *address, backlog=_BACKLOG)
 
     def fetch_if_newer(self, offer: StateOffer, *, at_once: bool = False) -> None:
-        """Ask a peer for its state where it is newer, at once where others will ask this one."""
-        self._upstreams.offered(offer, at_once=at_once)
-        self._config.offered(self._askable(offer), at_once=at_once)
+        """Fetch a peer's state if it is newer; without delay if other instances depend on it."""
+        self._upstreams.handle_offer(offer, at_once=at_once)
+        self._config.handle_offer(self._reachable_offer(offer), at_once=at_once)
 
     def stop(self) -> None:
-        """End what is under way."""
+        """Cancel all fetches."""
         self._upstreams.stop()
         self._config.stop()
 
-    def _askable(self, offer: StateOffer) -> StateOffer:
-        """Return the offer, by another instance of the own zone where the one that offers failed.
+    def _reachable_offer(self, offer: StateOffer) -> StateOffer:
+        """Return the offer, redirected to another instance of the own zone if its sender is backed
+        off.
 
-        Load: the way to the hub is cut, and its word comes by others. They have its configuration.
+        The network path to the hub may be cut, so that its sections arrive through relays. The
+        other instances of the zone have its configuration.
         """
-        is_paused = self._config.is_paused
+        is_backed_off = self._config.is_backed_off
         own_zone = offer.availability_zone == self._settings.availability_zone
-        if not own_zone or not is_paused(offer.address):
+        if not own_zone or not is_backed_off(offer.address):
             return offer
         order = self._view.membership.order(offer.availability_zone)
         others = [
             one
             for one in order
-            if one not in (offer.address, self._settings.ip) and not is_paused(one)
+            if one not in (offer.address, self._settings.ip) and not is_backed_off(one)
         ]
         return replace(offer, address=self._rng.choice(others)) if others else offer
--- a/src/egretrail/gateway/_store_sync.py
+++ b/src/egretrail/gateway/_store_sync.py
@@ -1,4 +1,4 @@
-"""Keeps configuration and upstreams in step with the store, on the few instances that read it."""
+"""Keeps configuration and upstreams in step with the store, on the instances that read it."""
 
 import asyncio
 import random
@@ -18,54 +18,57 @@
 from egretrail.store import Entry, HistoryLost, PlatformFailure, Store, StoreUnavailable
 from egretrail.traffic import UpstreamRecord, UpstreamState, revision_era
 
-_Following = asyncio.Task[PlatformFailure | None]
+_FollowTask = asyncio.Task[PlatformFailure | None]
 
-#: Zones whose hubs read the store for all: one may be cut off from it, or its reader turned away.
-#: With five zones, each change of an upstream costs two calls in place of five.
+#: The number of zones whose hubs read the store for the fleet: one zone may be cut off from the
+#: store, or its reader refused. With five zones, each change of an upstream costs two calls instead
+#: of five.
 _READING_ZONES = 2
-#: How long one watch waits.
+#: The maximum duration of one watch.
 _WATCH_S = 8.0
-#: While watches wait, a stale read, which costs a tenth of a call, asks this often whether the
-#: store still answers: one that has fallen silent for the readers of all zones is noticed well
-#: before the next change is due. The read may take so long at first; a slow store doubles it.
+#: While watches are pending, a stale read at this interval checks that the store still answers, at
+#: a tenth of the cost of a call. A store that has stopped answering the readers of all zones is
+#: then noticed well before the next change is due. The time-out doubles while the store is slow.
 _LIVENESS_INTERVAL_S = 0.5
 _LIVENESS_TIMEOUT_S, _LIVENESS_TIMEOUT_MAX_S = 0.5, 3.0
-#: While keys need a proof that the configuration is the newest one, each second of these reads is a
-#: linearizable watch that ends at once: it proves that nothing had changed when it was asked for.
-_PROOF_TURNS = 2
-_PROOF_WAIT_S = 0.001
-#: After changes the next watch begins this much later, so that those of one moment come together:
-#: each watch ends with the first change, and each is a call that costs money.
-_GATHER_S = 0.15
-#: After a failed call the store is asked again this much later, up to the maximum: a store that is
-#: down is priced and loaded by each try, and the peers know what changes.
+#: While keys require a configuration that is confirmed as current, every second check is a
+#: linearizable watch that ends at once. It confirms that nothing had changed when it was sent.
+_CONFIRM_EVERY = 2
+_CONFIRM_WAIT_S = 0.001
+#: After a change, the next watch starts this much later, so that one call returns several changes:
+#: each watch ends with the first change, and each call costs money.
+_BATCH_S = 0.15
+#: After a failed call, the next one follows after this time, doubled up to the maximum. Each try
+#: costs money and loads a store in trouble, and changes arrive from peers meanwhile.
 _RETRY_FIRST_S = 0.2
 _RETRY_MAX_S = 1.0
-#: An instance that has just started leaves the store to the relays for this long.
+#: An instance that has just started leaves the store to the hubs for this long.
 _START_WAIT_S = 0.15
-_START_PATIENCE_S = 0.8
-#: How often an instance looks whether it has to read the store.
-_LOOK_S = 0.1
-#: Without any peer in contact with the store, further instances of a zone try in turns this long:
-#: a store may turn away the hubs and some of those, and a change is due within seconds.
-_TURN_S = 0.5
-_TURNS = 8
-#: Who has taken over from readers goes on for this time at least, and for up to twice as long.
+_START_DELAY_S = 0.8
+#: How often an instance checks whether it has to read the store.
+_CHECK_S = 0.1
+#: While no peer is in contact with the store, further instances of the zone try in time slots of
+#: this length: the store may refuse the hubs and some of those, and a change is due within seconds.
+_SLOT_S = 0.5
+_SLOTS = 8
+#: An instance that has taken over from the readers goes on for at least this time, and for at most
+#: twice as long.
 _STAND_IN_S = 3.0
-#: Upstreams whose entries lapsed while the store was away list themselves again within two seconds
-#: of its return; those that vanish right after it are kept for that time.
-_LAPSE_KEEP_S = 2.2
-#: A store that was away for less than this has let nothing lapse: upstreams renew every 1.5 s.
-_LAPSE_AWAY_S = 1.0
-#: This part of a service vanishing at once without a word is a lapse and no release.
-_LAPSE_SHARE = 0.5
-#: What a store that came back from an older copy lacks is written again within this time; until
-#: then it proves nothing of what had been written before.
-_RESTORED_S = 2.2
+#: Upstreams whose entries expired during a store outage list themselves again within two seconds of
+#: its end. Entries that vanish right after the outage are kept for this grace period.
+_GRACE_S = 2.2
+#: No entry expires in a shorter outage: upstreams renew their entries every 1.5 s.
+_EXPIRY_OUTAGE_S = 1.0
+#: If more than this share of a service vanishes at once without draining, the entries are taken as
+#: expired and not as removed.
+_EXPIRY_SHARE = 0.5
+#: Upstreams and operators have written again what a restored store lacks within this time. Until
+#: then its answers confirm nothing that was written before.
+_RESTORE_SETTLE_S = 2.2
 
 
 class StoreSync:
-    """Reads and watches the store while this instance is one of those that should."""
+    """Reads and watches the store while this instance is one of its readers."""
 
     def __init__(
         self,
@@ -86,38 +89,40 @@
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._started_s = self._loop.time()
-        self._patience_s = _START_PATIENCE_S + rng.random() * 0.4
+        self._start_delay_s = _START_DELAY_S + rng.random() * 0.4
         self._last_success_s = float("-inf")
-        #: When this instance began to read; while it does not, the store is not known to be away.
+        #: When this instance began to read; while it does not read, no outage is measured.
         self._reading_since_s = self._loop.time()
-        #: Since when the store has not answered this instance, while it reads.
-        self._away_since_s: float | None = None
-        #: Whether another instance was in contact with the store meanwhile.
+        #: Since when the store has not answered this instance; None outside an outage or a reading
+        #: period.
+        self._outage_since_s: float | None = None
+        #: Whether another instance was in contact with the store during the outage.
         self._others_reach_store = False
-        #: Until when entries that vanish count as lapsed while the store was away.
-        self._lapses_until_s = float("-inf")
-        #: Entries that count as lapsed: until when they are kept, and their last revision.
+        #: Until when vanished entries are taken as expired during a store outage.
+        self._expiry_until_s = float("-inf")
+        #: Vanished entries in their grace period: when it ends, and their last revision.
         self._vanished: dict[str, tuple[float, int]] = {}
         self._listing = InstanceListing(settings, view, store, layout, peers, log)
-        #: What follows a part of the store now.
-        self._following: set[_Following] = set()
+        #: The tasks that read and watch a part of the store.
+        self._follow_tasks: set[_FollowTask] = set()
         self._liveness_timeout_s = _LIVENESS_TIMEOUT_S
-        #: Until when this instance reads in place of others although they read too.
+        #: Until when this instance reads in place of others even if they read again.
         self._stands_in_until_s = float("-inf")
-        #: The revision up to which the configuration was read; None where it has to be read anew.
+        #: The revision up to which the configuration was read; None if it has to be read again.
         self._config_revision: int | None = None
-        #: The version of the configuration that the store had last; 0 for one that is not valid.
+        #: The version of the configuration that the store last returned; 0 for an invalid one.
         self._stored_version = 0
-        #: The newest era of the store, and from when on it proves what holds; None before any.
+        #: The newest era of the store, None before the first answer, and from when on its answers
+        #: confirm the configuration.
         self._era: int | None = None
-        self._proof_from_s = float("-inf")
+        self._confirms_from_s = float("-inf")
 
     async def run(self) -> None:
         """Run until cancelled."""
         await asyncio.sleep(_START_WAIT_S)
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._keep("config", self._follow_config))
-            tasks.create_task(self._keep("upstreams", self._follow_upstreams))
+            tasks.create_task(self._follow_while_reader("config", self._follow_config))
+            tasks.create_task(self._follow_while_reader("upstreams", self._follow_upstreams))
             tasks.create_task(self._check_liveness())
             tasks.create_task(self._listing.run())
             tasks.create_task(self._drop_vanished())
@@ -125,118 +130,120 @@
     def use_store(self, store: Store) -> None:
         """Send the next calls to another address of the store.
 
-        A watch that waits at the old one, which may be silent, would keep the changes of the next
-        seconds from all who hear them from here.
+        A watch that is pending at the old address may never be answered. It would delay the changes
+        of the next seconds for all instances that learn them from here.
         """
         self._store = store
         self._listing.use_store(store)
-        self._begin_anew()
+        self._restart_reads()
 
-    def _begin_anew(self) -> None:
-        """End the calls that wait; each part of the store is read again."""
-        for following in self._following:
-            following.cancel()
+    def _restart_reads(self) -> None:
+        """Cancel the pending calls, so that each part of the store is read again."""
+        for task in self._follow_tasks:
+            task.cancel()
 
     def should_read(self) -> bool:
         """Return whether this instance reads the store itself.
 
         Each call costs money and the store's rate is shared, so the hubs of two zones read for all;
-        a zone whose reader is turned away hears from the others. An instance reads for itself
-        while it hears of nobody in contact with the store, in turns, since a store that is down
-        would otherwise be asked by all of them; and when it has started and nobody has told it the
-        configuration.
+        a zone whose reader is refused learns changes from the others. An instance reads for itself
+        while it knows of no peer in contact with the store. It does so in time slots, since all
+        instances would otherwise query a store that is down. It also reads after its start if no
+        peer has sent it the configuration.
         """
         if self._view.leaving:
             return False
         rank = self._view.membership.own_rank()
-        if rank == 0 and self._zone_reads():
+        if rank == 0 and self._is_reading_zone():
             return True
         if not self._view.ready:
-            return rank == 0 or self._loop.time() - self._started_s > self._patience_s
+            return rank == 0 or self._loop.time() - self._started_s > self._start_delay_s
         now_s = self._loop.time()
         if self._peer_reaches_store():
-            # All that took over hear of each other. If they stopped at once, nobody would read.
+            # All that took over learn of each other. If they stopped at once, none would read.
             return self._view.store_contact and now_s < self._stands_in_until_s
-        takes_turn = rank == 0 or rank == 1 + int(now_s / _TURN_S) % _TURNS
-        if not takes_turn and not self._view.store_contact:
+        has_slot = rank == 0 or rank == 1 + int(now_s / _SLOT_S) % _SLOTS
+        if not has_slot and not self._view.store_contact:
             return False
         if now_s >= self._stands_in_until_s:
             self._stands_in_until_s = now_s + _STAND_IN_S * (1.0 + self._rng.random())
         return True
 
-    def _zone_reads(self) -> bool:
-        """Return whether the own zone is one of those that read."""
+    def _is_reading_zone(self) -> bool:
+        """Return whether the own zone is one of the reading zones."""
         zones = rendezvous_order("read the store", self._view.membership.zones())
         return self._settings.availability_zone in zones[:_READING_ZONES]
 
-    async def _keep(
+    async def _follow_while_reader(
         self, name: str, follow: Callable[[], Coroutine[Any, Any, PlatformFailure | None]]
     ) -> None:
-        """Follow a part of the store whenever this instance should."""
+        """Read and watch a part of the store while this instance is a reader."""
         retry_s = _RETRY_FIRST_S
         while True:
             if not self.should_read():
                 self._view.set_store_contact(False)
-                self._away_since_s = None
+                self._outage_since_s = None
                 self._reading_since_s = self._loop.time()
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_CHECK_S)
                 continue
             began_s = self._loop.time()
-            failure = await self._until_moved(follow())
+            failure = await self._run_cancellable(follow())
             if isinstance(failure, HistoryLost):
                 self._log.event("store_history_lost", part=name, cause=failure)
             elif failure is not None:
-                self._failed(name, failure)
+                self._record_failure(name, failure)
             if self._last_success_s > began_s:
                 retry_s = _RETRY_FIRST_S
             await asyncio.sleep(retry_s * (0.75 + self._rng.random() * 0.5))
             retry_s = min(retry_s * 2, _RETRY_MAX_S)
 
     async def _check_liveness(self) -> None:
-        """End watches that wait for a store that does not answer any more.
+        """Cancel watches that are pending at a store that no longer answers.
 
-        Load: the store falls silent for a part of the instances, the readers of both zones among
-        them. Until one of them says so, nobody else reads, and no change reaches anyone.
+        The store may stop answering part of the instances, among them the readers of both zones.
+        Until one of them reports the loss, no other instance reads and no change reaches the fleet.
         """
-        turn = 0
+        check = 0
         while True:
             await asyncio.sleep(_LIVENESS_INTERVAL_S)
             if not self._view.store_contact or not self.should_read():
                 continue
-            turn += 1
-            proves = self._view.needs_proof and turn % _PROOF_TURNS == 0
-            failure = await self._in_time(self._prove_config() if proves else self._read_stale())
+            check += 1
+            confirms = self._view.needs_proof and check % _CONFIRM_EVERY == 0
+            failure = await self._with_liveness_timeout(
+                self._confirm_config() if confirms else self._read_stale()
+            )
             if isinstance(failure, HistoryLost):
-                self._begin_anew()
+                self._restart_reads()
             elif failure is not None and self._view.store_contact:
-                self._failed("liveness", failure)
-                self._begin_anew()
+                self._record_failure("liveness", failure)
+                self._restart_reads()
 
     async def _read_stale(self) -> PlatformFailure | None:
         path = self._layout.instances_prefix + self._settings.availability_zone
         read = await self._store.snapshot(path, stale=True)
         if isinstance(read, Err):
             return read.err_value
-        self._note_era(read.ok_value.revision)
+        self._check_era(read.ok_value.revision)
         return None
 
-    async def _prove_config(self) -> PlatformFailure | None:
-        """Ask for changes of the configuration up to now."""
+    async def _confirm_config(self) -> PlatformFailure | None:
+        """Confirm the configuration as current by a watch for changes up to now."""
         if self._config_revision is None:
             return await self._read_stale()
-        asked_s = self._view.proof.clock()
+        sent_s = self._view.proof.clock()
         path = self._layout.config_path
-        watched = await self._store.watch(path, self._config_revision, _PROOF_WAIT_S)
+        watched = await self._store.watch(path, self._config_revision, _CONFIRM_WAIT_S)
         if isinstance(watched, Err):
             return watched.err_value
-        await self._take_proof(watched.ok_value.entries, watched.ok_value.revision, asked_s)
+        await self._apply_config_answer(watched.ok_value.entries, watched.ok_value.revision, sent_s)
         return None
 
-    async def _in_time(
+    async def _with_liveness_timeout(
         self, call: Coroutine[Any, Any, PlatformFailure | None]
     ) -> PlatformFailure | None:
-        """Make a call that tells within a time whether the store answers."""
-        asked_s = self._loop.time()
+        """Make a call that fails if the store does not answer within the liveness time-out."""
+        sent_s = self._loop.time()
         timeout_s = self._liveness_timeout_s
         try:
             async with asyncio.timeout(timeout_s):
@@ -244,62 +251,64 @@
         except TimeoutError:
             self._liveness_timeout_s = min(timeout_s * 2, _LIVENESS_TIMEOUT_MAX_S)
             return StoreUnavailable("liveness", f"no answer within {timeout_s} s")
-        if self._loop.time() - asked_s < timeout_s / 4:
+        if self._loop.time() - sent_s < timeout_s / 4:
             self._liveness_timeout_s = max(timeout_s / 2, _LIVENESS_TIMEOUT_S)
         return failure
 
-    async def _until_moved(
+    async def _run_cancellable(
         self, follow: Coroutine[Any, Any, PlatformFailure | None]
     ) -> PlatformFailure | None:
-        """Follow a part of the store until a call fails or the store has another address."""
-        following = self._loop.create_task(follow)
-        self._following.add(following)
+        """Run a task that follows a part of the store until a call fails or reads restart."""
+        task = self._loop.create_task(follow)
+        self._follow_tasks.add(task)
         try:
-            await asyncio.wait([following])
+            await asyncio.wait([task])
         finally:
-            self._following.discard(following)
-            following.cancel()
-        return None if following.cancelled() else following.result()
+            self._follow_tasks.discard(task)
+            task.cancel()
+        return None if task.cancelled() else task.result()
 
     async def _follow_config(self) -> PlatformFailure | None:
         """Read the configuration and follow its changes until a call fails."""
-        # A snapshot tells the store's revision. The value's own may be older than its history.
+        # The snapshot returns the store's revision; the entry's own may be older than the kept
+        # history.
         configs = self._view.configs
         configs.reaches_store = False
         self._config_revision = None
-        asked_s = self._view.proof.clock()
+        sent_s = self._view.proof.clock()
         read = await self._store.snapshot(self._layout.config_path)
         if isinstance(read, Err):
             return read.err_value
-        self._succeeded()
+        self._record_success()
         revision = read.ok_value.revision
-        self._note_era(revision)
-        await self._take_proof(read.ok_value.entries, revision, asked_s)
+        self._check_era(revision)
+        await self._apply_config_answer(read.ok_value.entries, revision, sent_s)
         configs.reaches_store = True
         while self.should_read():
-            asked_s = self._view.proof.clock()
+            sent_s = self._view.proof.clock()
             watched = await self._store.watch(self._layout.config_path, revision, _WATCH_S)
             if isinstance(watched, Err):
                 configs.reaches_store = False
                 return watched.err_value
-            self._succeeded()
+            self._record_success()
             revision = max(revision, watched.ok_value.revision)
-            await self._take_proof(watched.ok_value.entries, revision, asked_s)
-            await self._gather(watched.ok_value.entries)
+            await self._apply_config_answer(watched.ok_value.entries, revision, sent_s)
+            await self._batch_changes(watched.ok_value.entries)
         configs.reaches_store = False
         return None
 
-    async def _take_proof(self, entries: Sequence[Entry], revision: int, asked_s: float) -> None:
-        """Take an answer that tells all changes of the configuration up to when it was asked for.
+    async def _apply_config_answer(
+        self, entries: Sequence[Entry], revision: int, sent_s: float
+    ) -> None:
+        """Apply an answer that holds all changes of the configuration up to the time of the call.
 
-        A store whose configuration is older than the one in force, or cannot be read, proves
-        nothing about the one in force.
+        It confirms nothing if the store's configuration is invalid or older than the one in force.
         """
-        await self._take_config(entries)
+        await self._apply_config(entries)
         self._config_revision = max(self._config_revision or 0, revision)
         is_newest = self._stored_version >= self._view.config_version
-        if is_newest and asked_s >= self._proof_from_s:
-            self._view.prove_config(asked_s)
+        if is_newest and sent_s >= self._confirms_from_s:
+            self._view.prove_config(sent_s)
 
     async def _follow_upstreams(self) -> PlatformFailure | None:
         """Read the upstreams and follow their changes until a call fails."""
@@ -307,35 +316,35 @@
         read = await self._store.snapshot(prefix)
         if isinstance(read, Err):
             return read.err_value
-        self._succeeded()
+        self._record_success()
         revision = read.ok_value.revision
-        self._note_era(revision)
-        # Those that are alive write their entry again, and a watch tells it.
+        self._check_era(revision)
+        # Upstreams that are alive write their entry again, and a watch returns it.
         vanished = self._view.upstreams.vanished_before(revision_era(revision))
         entries = [one for one in read.ok_value.entries if self._name(one) not in vanished]
         records = {record.name: record for record in self._decode(entries)}
         gone = {record.name for record in self._view.upstreams} - records.keys()
         if revision >= self._view.upstreams.revision:
-            self._keep_vanished(gone, records)
+            self._retain_vanished(gone, records)
         self._view.take_upstreams(records.values(), revision, "store")
         while self.should_read():
             watched = await self._store.watch(prefix, revision, _WATCH_S)
             if isinstance(watched, Err):
                 return watched.err_value
-            self._succeeded()
+            self._record_success()
             if watched.ok_value.entries:
-                self._take_changes(watched.ok_value.entries, watched.ok_value.revision)
+                self._apply_changes(watched.ok_value.entries, watched.ok_value.revision)
             revision = max(revision, watched.ok_value.revision)
-            await self._gather(watched.ok_value.entries)
+            await self._batch_changes(watched.ok_value.entries)
         return None
 
-    async def _gather(self, entries: Sequence[Entry]) -> None:
-        """Leave time for further changes after some that have just come."""
+    async def _batch_changes(self, entries: Sequence[Entry]) -> None:
+        """Wait after changes, so that the next watch returns several at once."""
         if entries:
-            await asyncio.sleep(_GATHER_S)
+            await asyncio.sleep(_BATCH_S)
 
-    async def _take_config(self, entries: Sequence[Entry]) -> None:
-        """Put the last valid one of some versions in force; those before it were replaced."""
+    async def _apply_config(self, entries: Sequence[Entry]) -> None:
+        """Put the last valid version among some entries in force; it replaces those before it."""
         stored_version = None
         for entry in reversed(entries):
             if entry.path != self._layout.config_path or entry.value is None:
@@ -350,7 +359,7 @@
             if stored_version is None:
                 stored_version = decoded.ok_value.version
             if decoded.ok_value.version > self._view.config_version:
-                parted = await in_slices(part_config(decoded.ok_value, self._view.configs.parted))
+                chunked = await in_slices(part_config(decoded.ok_value, self._view.configs.chunked))
                 self._log.event(
                     "config_read",
                     version=decoded.ok_value.version,
@@ -358,64 +367,64 @@
                     size_bytes=len(value),
                     prepare_s=self._loop.time() - arrived_s,
                 )
-                self._view.take_config(parted, "store")
+                self._view.take_config(chunked, "store")
             break
         if stored_version is not None:
             self._stored_version = stored_version
 
-    def _take_changes(self, entries: Sequence[Entry], revision: int) -> None:
-        last = self._last_words(entries)
-        removed = {name for name, word in last.items() if word is None}
+    def _apply_changes(self, entries: Sequence[Entry], revision: int) -> None:
+        latest = self._latest_records(entries)
+        removed = {name for name, record in latest.items() if record is None}
         kept: dict[str, UpstreamRecord] = {}
-        # A peer may have told newer words, and an upstream that it lists has not lapsed.
+        # A peer may have sent newer records; an upstream that it lists has not expired.
         if revision > self._view.upstreams.revision:
-            self._keep_vanished(removed, kept)
-        self._view.change_upstreams({**last, **kept}, revision, "store")
+            self._retain_vanished(removed, kept)
+        self._view.apply_upstream_changes({**latest, **kept}, revision, "store")
 
-    def _last_words(self, entries: Sequence[Entry]) -> dict[str, UpstreamRecord | None]:
-        """Return what holds of each name after changes that came together; None for nothing usable.
+    def _latest_records(self, entries: Sequence[Entry]) -> dict[str, UpstreamRecord | None]:
+        """Return the record that holds for each name after changes; None if removed or invalid.
 
-        An entry that cannot be used takes the place of the usable one before it. One of an older
-        lifetime does not: it was stored late.
+        An invalid entry replaces the valid one before it. A valid entry of an older lifetime does
+        not, since it was stored late.
         """
-        last: dict[str, UpstreamRecord | None] = {}
+        latest: dict[str, UpstreamRecord | None] = {}
         for entry in entries:
             name = self._name(entry)
             decoded = self._decode([entry]) if entry.value is not None else []
             record = decoded[0] if decoded else None
-            before = last.get(name)
+            before = latest.get(name)
             if record is None or before is None or record.started_ms >= before.started_ms:
-                last[name] = record
-        return last
+                latest[name] = record
+        return latest
 
     def _name(self, entry: Entry) -> str:
         return entry.path.removeprefix(self._layout.upstreams_prefix)
 
-    def _keep_vanished(self, gone: Set[str], records: dict[str, UpstreamRecord]) -> None:
-        """Keep upstreams that vanished while the store was away, until they should be back."""
+    def _retain_vanished(self, gone: Set[str], records: dict[str, UpstreamRecord]) -> None:
+        """Keep ready upstreams whose entries expired in an outage for their grace period."""
         now_s = self._loop.time()
         for name in gone:
             record = self._view.upstreams.named(name)
             if record is None or record.state is not UpstreamState.READY:
                 continue
-            if self._lapsed(record, gone, now_s):
-                self._vanished.setdefault(record.id, (now_s + _LAPSE_KEEP_S, record.revision))
+            if self._is_expired(record, gone, now_s):
+                self._vanished.setdefault(record.id, (now_s + _GRACE_S, record.revision))
                 records[name] = record
                 self._log.event("upstream_lapsed", upstream=record.id)
 
-    def _lapsed(self, record: UpstreamRecord, gone: Set[str], now_s: float) -> bool:
+    def _is_expired(self, record: UpstreamRecord, gone: Set[str], now_s: float) -> bool:
         if record.id in self._vanished:
             return self._vanished[record.id][0] > now_s
-        if now_s < self._lapses_until_s:
+        if now_s < self._expiry_until_s:
             return True
-        alike = self._view.upstreams.ready(record.service)
-        lost = sum(1 for other in alike if other.name in gone)
-        return lost > 1 and lost > len(alike) * _LAPSE_SHARE
+        same_service = self._view.upstreams.ready(record.service)
+        lost = sum(1 for other in same_service if other.name in gone)
+        return lost > 1 and lost > len(same_service) * _EXPIRY_SHARE
 
     async def _drop_vanished(self) -> None:
-        """Remove upstreams that did not list themselves again in time."""
+        """Drop upstreams that did not list themselves again within their grace period."""
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_CHECK_S)
             now_s = self._loop.time()
             due = [
                 (upstream_id, revision)
@@ -425,7 +434,7 @@
             for upstream_id, _ in due:
                 del self._vanished[upstream_id]
             listed = self._view.upstreams.records
-            # One that a peer has told since is back.
+            # An upstream that a peer has sent since then is listed again.
             self._view.drop_upstreams(
                 upstream_id
                 for upstream_id, revision in due
@@ -444,8 +453,8 @@
             records.append(record)
         return records
 
-    def _note_era(self, revision: int) -> None:
-        """Read all parts anew where the store has come back from an older copy."""
+    def _check_era(self, revision: int) -> None:
+        """Read everything again if the store's era shows that it was restored from a copy."""
         before, era = self._era, revision_era(revision)
         if before is None and self._view.upstreams.revision > 0:
             before = revision_era(self._view.upstreams.revision)
@@ -453,31 +462,31 @@
         if before is None or era <= before:
             return
         self._log.event("store_restored", era=era, before=before)
-        self._lapses_until_s = self._loop.time() + _LAPSE_KEEP_S
-        self._proof_from_s = self._view.proof.clock() + _RESTORED_S
+        self._expiry_until_s = self._loop.time() + _GRACE_S
+        self._confirms_from_s = self._view.proof.clock() + _RESTORE_SETTLE_S
         self._stored_version = 0
-        self._listing.write_again()
-        self._begin_anew()
+        self._listing.invalidate()
+        self._restart_reads()
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         now_s = self._loop.time()
-        away_s = now_s - self._away_since_s if self._away_since_s is not None else 0.0
-        self._away_since_s = None
+        away_s = now_s - self._outage_since_s if self._outage_since_s is not None else 0.0
+        self._outage_since_s = None
         if not self._view.store_contact:
             self._log.event("store_contact", away_s=away_s)
-        if away_s > _LAPSE_AWAY_S and not self._others_reach_store:
-            self._lapses_until_s = now_s + _LAPSE_KEEP_S
+        if away_s > _EXPIRY_OUTAGE_S and not self._others_reach_store:
+            self._expiry_until_s = now_s + _GRACE_S
         self._others_reach_store = False
         self._last_success_s = now_s
         self._view.set_store_contact(True)
 
-    def _failed(self, name: str, failure: PlatformFailure) -> None:
+    def _record_failure(self, name: str, failure: PlatformFailure) -> None:
         if self._view.store_contact:
             self._log.event("store_lost", part=name, cause=failure)
-        # A store that turns this instance away and serves others lets nothing lapse.
+        # A store that refuses only this instance has let no entry expire.
         self._others_reach_store |= self._peer_reaches_store()
-        if self._away_since_s is None:
-            self._away_since_s = max(self._last_success_s, self._reading_since_s)
+        if self._outage_since_s is None:
+            self._outage_since_s = max(self._last_success_s, self._reading_since_s)
         self._view.set_store_contact(False)
 
     def _peer_reaches_store(self) -> bool:
--- a/src/egretrail/gateway/_view.py
+++ b/src/egretrail/gateway/_view.py
@@ -1,4 +1,4 @@
-"""What one instance believes of the fleet: configuration, upstreams, peers and their news."""
+"""What one instance knows of the fleet: configuration, upstreams, peers and their reports."""
 
 import asyncio
 import random
@@ -42,11 +42,11 @@
 )
 from egretrail.gateway._awaited_upstreams import AwaitedUpstreams
 from egretrail.gateway._config_state import ConfigState
-from egretrail.gateway._evidence import Evidence
+from egretrail.gateway._evidence import OutcomeRecorder
 from egretrail.gateway._interfaces import GatewaySettings
 from egretrail.gateway._log import EventLog
-from egretrail.gateway._named_limits import NamedLimits, limit_place
-from egretrail.gateway._zones import ZoneSums
+from egretrail.gateway._named_limits import LimitExchange, limit_position
+from egretrail.gateway._zones import ZoneAggregates
 from egretrail.traffic import (
     ClientAccount,
     FleetConfig,
@@ -55,14 +55,16 @@
     upstream_key,
 )
 
-#: Whoever hears this part of the largest fleet that it has known is not cut off with its zone.
+#: An instance that receives reports from more than this share of the largest fleet size that it has
+#: seen is not counted as partitioned from the rest together with its zone.
 _FLEET_SHARE = 0.5
-#: Keys are refused this long before the proof of the configuration is as old as it may be.
+#: Keys are refused this long before the last confirmation of the configuration reaches its maximum
+#: age.
 _REVOCATION_MARGIN_S = 0.25
 
 
 class FleetView:
-    """The state behind all decisions of an instance. It changes only through these methods."""
+    """The state on which an instance bases all decisions; it changes only through these methods."""
 
     def __init__(
         self,
@@ -73,47 +75,47 @@
         rng: random.Random,
         elapsed_clock: Callable[[], float] | None = None,
     ) -> None:
-        """``elapsed_clock`` counts the time in which the machine is suspended too."""
+        """Start empty; ``elapsed_clock`` also counts the time in which the machine is suspended."""
         self._settings = settings
         #: Rises with each start of the process.
         self.incarnation = incarnation
         self._clock = clock
         self._log = log
         self._sequence = 0
-        self._news = OwnNews()
-        self._most_alive = 1
+        self._reports = OwnNews()
+        self._largest_fleet = 1
         #: The configuration in force.
         self.configs = ConfigState(clock)
-        #: Up to when this configuration is known to be the newest one.
+        #: The last moment at which this configuration is known to have been the newest.
         self.proof = ConfigProof(elapsed_clock or clock)
-        self._beat_times = SendTimes()
+        self._heartbeat_times = SendTimes()
         #: The listed upstreams.
         self.upstreams = UpstreamTable()
         self._awaited = AwaitedUpstreams()
         #: The other instances.
         self.membership = Membership(settings.ip, settings.availability_zone, settings.capacity)
-        #: Requests under way over the fleet.
+        #: Requests in flight over the whole fleet.
         self.load = FleetLoad()
-        #: Usual durations of work.
+        #: Typical durations of work.
         self.durations = ServiceDurations()
-        #: Usual sizes of answers.
+        #: Typical sizes of answers.
         self.sizes = AnswerSizes()
-        #: Doubts about upstreams.
+        #: Suspicions about upstreams.
         self.suspicion = SuspicionBook(settings.ip)
         #: Requests that crash upstreams.
         self.crashers = CrashingRequests()
-        #: What is left for repeats.
+        #: The remaining retry budget.
         self.repeats = RepeatBudget(
             settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack, clock()
         )
-        #: What is left of accounts' quotas.
+        #: The remaining quotas of client accounts.
         self.quotas = AccountQuotas(settings.quota_terms, rng)
         own_zone = settings.availability_zone
-        #: The share of the zone's slots that this instance prefers.
+        #: The slots of the zone's upstreams that this instance prefers.
         self.shares = SlotShares(lambda task: self.membership.rank_for(task, own_zone))
         self.membership.on_change = self.shares.changed
-        #: Limits that upstreams have named.
-        self.limits = NamedLimits(settings.ip, self._limit_place, self._news, log)
+        #: Rate limits that upstreams have advertised.
+        self.limits = LimitExchange(settings.ip, self._limit_position, self._reports, log)
         #: Chooses upstreams.
         self.placement = Placement(
             settings.availability_zone,
@@ -125,33 +127,36 @@
             owns=self.shares.owns,
             rng=rng,
         )
-        self._evidence = Evidence(
+        self._evidence = OutcomeRecorder(
             self.upstreams, self.load, self.durations, self.suspicion, self.placement, log
         )
-        #: What the hubs of the zones tell.
-        self.zones = ZoneSums(settings.availability_zone, self.load, self.repeats, self.quotas)
-        #: Whether the store answered this instance lately.
+        #: The aggregates that the hubs of the zones send.
+        self.zones = ZoneAggregates(
+            settings.availability_zone, self.load, self.repeats, self.quotas
+        )
+        #: Whether this instance's last call to the store was answered.
         self.store_contact = False
-        #: Whether the instance was told to stop.
+        #: Whether the instance has been told to stop.
         self.leaving = False
-        #: Set once callers can be served.
+        #: Set once a configuration and a list of upstreams are known, so that clients can be
+        #: served.
         self.serving = asyncio.Event()
-        #: Set once keys can be taken.
+        #: Set once the configuration is confirmed as current, so that keys can be accepted.
         self.proved = asyncio.Event()
-        #: Called when other instances should hear of something; True where it is urgent.
-        self.on_news: Callable[[bool], None] = lambda urgent: None
-        #: Called with the upstreams that are listed after each change.
+        #: Called when there is an update for other instances; the argument is True if it is urgent.
+        self.on_update: Callable[[bool], None] = lambda urgent: None
+        #: Called with the ids of all listed upstreams after each change of the list.
         self.on_upstreams: Callable[[set[str]], None] = lambda listed: None
 
     def take_settings(self, settings: GatewaySettings) -> None:
-        """Go on with changed settings; the others hear of the capacity."""
+        """Apply changed settings; the next heartbeat reports the capacity."""
         self._settings = settings
         self.membership.set_own_capacity(settings.capacity)
         self.repeats.set_bounds(
             settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack, self._clock()
         )
         self.quotas.set_terms(settings.quota_terms)
-        self.on_news(False)
+        self.on_update(False)
 
     @property
     def own_zone(self) -> str:
@@ -170,14 +175,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether clients may be directed to this instance."""
         return self.config_version > 0 and self.upstreams.revision > 0 and not self.leaving
 
     @property
     def knows_config_is_current(self) -> bool:
-        """Whether nothing newer is known of than the configuration in force, and would be."""
-        hears_fleet = self.others_reach_store() or self.known_share() > _FLEET_SHARE
-        return self.configs.is_current(hears_fleet=hears_fleet)
+        """Whether no newer configuration is known, and this instance would have learned of one."""
+        fleet_reachable = self.others_reach_store() or self.known_share() > _FLEET_SHARE
+        return self.configs.is_current(fleet_reachable=fleet_reachable)
 
     @property
     def has_accounts(self) -> bool:
@@ -186,46 +191,52 @@
 
     @property
     def needs_proof(self) -> bool:
-        """Whether keys are taken only while the configuration is proved to be the newest one."""
+        """Whether keys are accepted only while the configuration is confirmed as current."""
         return self._settings.revocation_s is not None and self.configs.accounts is not None
 
     @property
     def takes_keys(self) -> bool:
-        """Whether a key of the configuration in force cannot have ended long ago."""
+        """Whether the configuration was confirmed recently enough to accept its keys."""
         limit_s = self._settings.revocation_s
         if limit_s is None or self.configs.accounts is None:
             return True
         return self.proof.age_s < limit_s - _REVOCATION_MARGIN_S
 
-    def told_proof_age_s(self) -> float | None:
-        """Return the age of the proof for others; None where none is needed."""
+    def reported_freshness_age_s(self) -> float | None:
+        """Return the age of the last confirmation for other instances; None if none is required."""
         return self.proof.age_s if self.needs_proof else None
 
-    def take_proof(self, config_version: int, age_s: float | None, asked_s: float | None) -> None:
-        """Take the proof that another instance had of a version, in reply to what was sent to it.
+    def apply_peer_confirmation(
+        self, config_version: int, age_s: float | None, sent_s: float | None
+    ) -> None:
+        """Apply another instance's confirmation of a version, sent in reply to an own message.
 
-        ``asked_s`` is when that was sent, by the proof's clock; None where it is not known.
+        ``asked_s`` is when that message was sent, by the clock of the confirmation; None if
+        unknown.
         """
-        if age_s is not None and asked_s is not None and config_version <= self.config_version:
-            self.prove_config(asked_s - age_s)
+        if age_s is not None and sent_s is not None and config_version <= self.config_version:
+            self.prove_config(sent_s - age_s)
 
     def prove_config(self, at_s: float) -> None:
-        """Take that no configuration newer than the one in force existed at a moment."""
+        """Record that no configuration newer than the one in force existed at a moment."""
         self.proof.proved(at_s)
         if not self.proved.is_set() and self.takes_keys:
             self.proved.set()
 
     def set_store_contact(self, contact: bool) -> None:
-        """Take whether the store answers this instance; others read it where it answers nobody."""
+        """Record whether the store answers this instance, and notify the others of a change.
+
+        Other instances read the store themselves when it answers none of their peers.
+        """
         if contact != self.store_contact:
             self.store_contact = contact
-            self.on_news(True)
+            self.on_update(True)
 
-    def heard_of_upstreams(self, revision: int, peer: str) -> None:
-        """Take which revision of the upstreams a peer has."""
+    def record_peer_revision(self, revision: int, peer: str) -> None:
+        """Record a peer's revision of the upstreams; log once if this instance stays behind it."""
         if revision <= self.upstreams.revision:
             return
-        behind_s = self._awaited.heard_of(revision, self._clock())
+        behind_s = self._awaited.record_advertised(revision, self._clock())
         if behind_s is not None:
             self._log.event(
                 "upstreams_behind",
@@ -236,104 +247,107 @@
                 behind_s=behind_s,
             )
 
-    def take_config(self, parted: PartedConfig, source: str) -> bool:
-        """Put a configuration in force, unless the one in force is as new."""
+    def take_config(self, chunked: PartedConfig, source: str) -> bool:
+        """Put a configuration in force; return False if the one in force is as new or newer."""
         before, behind_s = self.config_version, self.configs.behind_s
-        if not self.configs.take(parted):
+        if not self.configs.apply(chunked):
             return False
-        self.quotas.set_accounts(parted.config.accounts or (), self._clock())
+        self.quotas.set_accounts(chunked.config.accounts or (), self._clock())
         self._log.event(
             "config_in_force",
-            version=parted.config.version,
+            version=chunked.config.version,
             before=before,
-            routes=len(parted.config.routes),
+            routes=len(chunked.config.routes),
             behind_s=behind_s,
             source=source,
         )
-        self._note_serving()
-        self.on_news(True)
+        self._update_serving()
+        self.on_update(True)
         return True
 
     def take_upstreams(self, records: Iterable[UpstreamRecord], revision: int, source: str) -> bool:
-        """Take a whole list of upstreams, unless the known one is newer."""
+        """Replace the whole list of upstreams; return False if the known list is newer."""
         before = dict(self.upstreams.records)
         if not self.upstreams.replace(records, revision):
             return False
         self._upstreams_changed(before, source)
         return True
 
-    def change_upstreams(
+    def apply_upstream_changes(
         self, changes: dict[str, UpstreamRecord | None], revision: int, source: str
     ) -> None:
-        """Take changes of the list of upstreams, by name."""
+        """Apply changes of the list of upstreams by name; None removes an entry."""
         before = dict(self.upstreams.records)
         self.upstreams.apply(changes, revision)
         self._upstreams_changed(before, source)
 
     def drop_upstreams(self, upstream_ids: Iterable[str]) -> None:
-        """Drop upstreams whose entries vanished and did not come back, and tell the others."""
+        """Drop upstreams that stayed unlisted for their grace period, and report the drops."""
         now_s = self._clock()
         known = self.upstreams.records
         reports = [DropReport(name, known[name].revision) for name in upstream_ids if name in known]
-        self._news.dropped(reports, now_s)
-        self._drop(reports, "lapse")
+        self._reports.dropped(reports, now_s)
+        self._apply_drop_reports(reports, "lapse")
         if reports:
-            self.on_news(True)
+            self.on_update(True)
 
-    def take_section(self, section: Section, *, followed: bool) -> bool:
-        """Take what a hub tells; return whether it is news.
+    def apply_section(self, section: Section, *, followed: bool) -> bool:
+        """Apply a hub's section; return False if it is a duplicate or out of date.
 
-        ``followed`` is False for a hub of the own zone whose sums are not taken, since it has yet
-        to find the first of the zone; what it found holds all the same.
+        ``followed`` is False for a hub of the own zone that is not the first in the zone's order.
+        Its aggregates are ignored, but the outcomes that it reports are still valid.
         """
         now_s = self._clock()
-        skip = self.zones.skipped_findings(section, now_s)
-        if skip is None:
+        known_count = self.zones.register_section(section, now_s)
+        if known_count is None:
             return False
         source = f"peer {section.hub}"
         if followed:
-            self.zones.take(section, self._evidence.ids, now_s)
-            self._most_alive = max(self._most_alive, self.zones.instances(now_s))
-            self._take_roster(section, now_s)
+            self.zones.apply_section(section, self._evidence.ids_by_key, now_s)
+            self._largest_fleet = max(self._largest_fleet, self.zones.instances(now_s))
+            self._apply_roster(section, now_s)
             if section.scope is Scope.ZONE:
-                beat = self.zones.acknowledged_sequence()
-                asked_s = None if beat is None else self._beat_times.time_of(beat)
-                self.take_proof(section.config_version, section.config_proof_age_s, asked_s)
+                heartbeat = self.zones.acknowledged_sequence()
+                sent_s = None if heartbeat is None else self._heartbeat_times.time_of(heartbeat)
+                self.apply_peer_confirmation(
+                    section.config_version, section.config_proof_age_s, sent_s
+                )
         elif section.roster is not None:
-            # One of them may be before the hub that is followed.
+            # The roster may name an instance that comes before the followed hub in the zone's
+            # order.
             for instance in section.roster.instances:
                 self.membership.introduce(instance, now_s)
         for loss in section.losses:
             self.crashers.lost(loss.digest, _loss_name(loss.upstream_key), now_s)
-        self._drop(section.dropped, source)
-        self.limits.hear(section.limits, self._evidence.ids, source, now_s)
-        for finding in section.findings[skip:]:
+        self._apply_drop_reports(section.dropped, source)
+        self.limits.record_reported(section.limits, self._evidence.ids_by_key, source, now_s)
+        for finding in section.findings[known_count:]:
             if finding.observer != self._settings.ip:
-                self._evidence.hear(finding, now_s)
+                self._evidence.record_reported(finding, now_s)
         for key in section.refusals:
-            self._evidence.hear_refusal(key, section.hub, now_s)
+            self._evidence.record_reported_refusal(key, section.hub, now_s)
         changed = section.changed
         for key, duration_s in zip(changed.keys, changed.durations_s, strict=True):
             if duration_s:
-                self._evidence.hear_answers(key, duration_s, now_s)
+                self._evidence.record_reported_successes(key, duration_s, now_s)
         return True
 
     def expire(self) -> None:
-        """Remove instances and zones that are silent."""
+        """Remove the instances and zones whose messages have stopped."""
         now_s = self._clock()
         for instance in self.membership.expire(now_s):
             self._log.event("instance_gone", peer=instance.address, zone=instance.availability_zone)
         for zone in self.zones.expire(now_s):
             self._log.event("zone_silent", zone=zone)
 
-    def own_beat(self) -> Beat:
-        """Return the next beat."""
+    def next_heartbeat(self) -> Beat:
+        """Return the next heartbeat of this instance."""
         now_s = self._clock()
-        self._news.forget_old(now_s)
+        self._reports.forget_old(now_s)
         self._sequence += 1
-        self._beat_times.sent(self._sequence, self.proof.clock())
-        tells_proof = self.needs_proof and self.store_contact
-        beat = Beat(
+        self._heartbeat_times.sent(self._sequence, self.proof.clock())
+        sends_freshness = self.needs_proof and self.store_contact
+        heartbeat = Beat(
             origin=self._settings.ip,
             availability_zone=self._settings.availability_zone,
             incarnation=self.incarnation,
@@ -344,23 +358,23 @@
             upstreams_revision=self.upstreams.revision,
             store_contact=self.store_contact,
             loads={upstream_key(name): n for name, n in self.load.own_counts().items()},
-            first_finding=self._news.first_finding,
-            findings=self._news.findings(),
-            losses=self._news.losses(),
-            dropped=self._news.drops(),
-            limits=self._news.limits(now_s),
-            routine=self._news.take_successes(),
+            first_finding=self._reports.first_finding,
+            findings=self._reports.findings(),
+            losses=self._reports.losses(),
+            dropped=self._reports.drops(),
+            limits=self._reports.limits(now_s),
+            routine=self._reports.take_successes(),
             repeats=dict(self.repeats.own_counts()),
-            told_repeats=self.zones.told_repeats(now_s),
-            config_proof_age_s=self.proof.age_s if tells_proof else None,
-            heard=self.zones.own_echo() if tells_proof else None,
+            told_repeats=self.zones.known_retries(now_s),
+            config_proof_age_s=self.proof.age_s if sends_freshness else None,
+            heard=self.zones.own_echo() if sends_freshness else None,
             accounts=self.quotas.own_reports(now_s),
         )
-        self.zones.sent(beat, now_s)
-        return beat
+        self.zones.record_sent(heartbeat, now_s)
+        return heartbeat
 
     def own_instance(self) -> Instance:
-        """Return what others list of this instance."""
+        """Return the entry of this instance for other instances' lists."""
         return Instance(
             self._settings.ip,
             self._settings.availability_zone,
@@ -369,52 +383,52 @@
             self._settings.capacity,
         )
 
-    def observe(self, seen: Observation, digest: RequestDigest | None = None) -> None:
-        """Take an outcome of this instance, and tell the others."""
+    def observe(self, observation: Observation, digest: RequestDigest | None = None) -> None:
+        """Record an outcome that this instance observed, and report it to the others."""
         now_s = self._clock()
-        doubted = self.suspicion.standing(seen.upstream_id, now_s) is not Standing.GOOD
+        suspected = self.suspicion.standing(observation.upstream_id, now_s) is not Standing.GOOD
         own_name = self._settings.ip
-        self._evidence.observe(seen, own_name, now_s)
-        key = upstream_key(seen.upstream_id)
-        finding = Finding(key, seen.outcome, seen.duration_s, own_name)
-        if seen.outcome is Outcome.SUCCESS and not doubted:
-            self._news.succeeded(finding)
+        self._evidence.record_own(observation, own_name, now_s)
+        key = upstream_key(observation.upstream_id)
+        finding = Finding(key, observation.outcome, observation.duration_s, own_name)
+        if observation.outcome is Outcome.SUCCESS and not suspected:
+            self._reports.succeeded(finding)
         else:
-            self._news.found(finding, now_s)
-        if seen.outcome is Outcome.BROKEN and digest is not None:
+            self._reports.found(finding, now_s)
+        if observation.outcome is Outcome.BROKEN and digest is not None:
             self.crashers.lost(digest, _loss_name(key), now_s)
-            self._news.lost(LossReport(digest, key), now_s)
-        self.on_news(seen.outcome in URGENT_OUTCOMES)
+            self._reports.lost(LossReport(digest, key), now_s)
+        self.on_update(observation.outcome in URGENT_OUTCOMES)
 
     def named_limit(self, upstream_id: str, limit_per_s: float | None) -> None:
-        """Take what an upstream's answer says of its limit, and tell the others."""
+        """Record the rate limit in an upstream's answer, and report a change to the others."""
         now_s = self._clock()
-        if self.limits.named(upstream_id, limit_per_s, now_s):
-            self.on_news(True)
+        if self.limits.record_own(upstream_id, limit_per_s, now_s):
+            self.on_update(True)
 
     def begin(self, upstream_id: str, *, trial: bool) -> None:
-        """Count a request that is sent to an upstream; a trial is told at once."""
+        """Count a request sent to an upstream; the start of a trial is reported as urgent."""
         now_s = self._clock()
         self.load.started(upstream_id, now_s)
         record = self.upstreams.records.get(upstream_id)
         if record is not None:
             self.limits.upstreams.sent(record, now_s)
-        self.on_news(trial)
+        self.on_update(trial)
 
     def end(self, upstream_id: str) -> None:
-        """Discount a request that was sent to an upstream."""
+        """Remove a request from an upstream's count."""
         self.load.finished(upstream_id)
-        self.on_news(False)
+        self.on_update(False)
 
     def known_share(self) -> float:
-        """Return the part of the fleet that this instance hears, for shared allowances."""
-        return min(self.zones.instances(self._clock()) / self._most_alive, 1.0)
+        """Return the share of the fleet that reports here; shared allowances are scaled by it."""
+        return min(self.zones.instances(self._clock()) / self._largest_fleet, 1.0)
 
     def permits_repeat(self, service: str) -> bool:
-        """Return whether a request may be sent once more within the fleet's budget.
+        """Return whether the fleet's retry budget permits one more attempt.
 
-        Load: while a zone changes its hub nobody hears of the others' repeats, and each instance
-        would take all that the window sets free. For these moments none is sent.
+        While a zone changes its hub, the other instances' retries are unknown, and each instance
+        would spend everything that the window frees. No retry is permitted in that short time.
         """
         now_s = self._clock()
         if self.zones.is_late(now_s):
@@ -423,12 +437,12 @@
         return self.repeats.permits(service, now_s, self.known_share(), own_part)
 
     def admit_to_quota(self, account: ClientAccount) -> OverQuota | None:
-        """Count a request of an account; return why its quota has no room for it, or None."""
+        """Count a request of an account; return why the quota refuses it, or None."""
         now_s = self._clock()
         over = self.quotas.admit(
-            account, now_s, self.known_share(), hears_all=self.zones.hears_all(now_s)
+            account, now_s, self.known_share(), hears_all=self.zones.receives_all_zones(now_s)
         )
-        self.on_news(False)
+        self.on_update(False)
         return over
 
     def others_reach_store(self) -> bool:
@@ -436,18 +450,18 @@
         readers = self.zones.store_readers(self._clock())
         return readers > (1 if self.store_contact else 0)
 
-    def doubts(self) -> Sequence[DoubtRecord]:
-        """Return the doubts about upstreams, for an instance that has just started."""
+    def suspicions(self) -> Sequence[DoubtRecord]:
+        """Return the suspicions about upstreams, for an instance that has just started."""
         return self.suspicion.records(self._clock())
 
-    def adopt_doubts(self, records: Sequence[DoubtRecord]) -> None:
-        """Take the doubts that a peer told when this instance started."""
+    def adopt_suspicions(self, records: Sequence[DoubtRecord]) -> None:
+        """Import the suspicions that a peer sent when this instance started."""
         if records:
             self._log.event("doubts_adopted", upstreams=len(records))
             self.suspicion.adopt(records, self._clock())
 
-    def _limit_place(self, record: UpstreamRecord) -> LimitPlace:
-        return limit_place(
+    def _limit_position(self, record: UpstreamRecord) -> LimitPlace:
+        return limit_position(
             record,
             self.membership,
             own_zone=self.own_zone,
@@ -456,7 +470,7 @@
             known_share=self.known_share(),
         )
 
-    def _drop(self, reports: Iterable[DropReport], source: str) -> None:
+    def _apply_drop_reports(self, reports: Iterable[DropReport], source: str) -> None:
         known = self.upstreams.records
         gone = [
             known[report.upstream_id].name
@@ -473,19 +487,19 @@
             return InstanceState.LEAVING
         return InstanceState.READY if self.ready else InstanceState.STARTING
 
-    def _take_roster(self, section: Section, now_s: float) -> None:
+    def _apply_roster(self, section: Section, now_s: float) -> None:
         zone = section.availability_zone
         self.membership.keep(zone, now_s)
         if section.roster is not None:
             self.membership.take_roster(zone, section.roster, now_s)
             if zone == self._settings.availability_zone:
-                self.zones.find_place(section.roster, self._settings.ip)
+                self.zones.update_ack_index(section.roster, self._settings.ip)
 
     def _trial_rank(self, record: UpstreamRecord) -> int:
         return self.membership.rank_for(f"trial {record.id}", record.availability_zone)
 
     def _upstreams_changed(self, before: dict[str, UpstreamRecord], source: str) -> None:
-        self._awaited.arrived(self.upstreams.revision)
+        self._awaited.record_arrival(self.upstreams.revision)
         after = self.upstreams.records
         for upstream_id in before.keys() | after.keys():
             old, new = before.get(upstream_id), after.get(upstream_id)
@@ -511,15 +525,15 @@
         self.load.keep_only(listed)
         self.suspicion.keep_only(listed)
         self.limits.upstreams.keep_only(listed)
-        self._note_serving()
+        self._update_serving()
         self.on_upstreams(listed)
-        self.on_news(True)
+        self.on_update(True)
 
-    def _note_serving(self) -> None:
+    def _update_serving(self) -> None:
         if self.config_version > 0 and self.upstreams.revision > 0:
             self.serving.set()
 
 
 def _loss_name(key: int) -> str:
-    """Return how an upstream is named among those that a request has cost."""
+    """Return the name of an upstream in the record of connections lost to a request."""
     return f"{key:08x}"
--- a/src/egretrail/gateway/_zones.py
+++ b/src/egretrail/gateway/_zones.py
@@ -1,4 +1,4 @@
-"""What the hubs of the zones tell this instance, and how fresh it is."""
+"""The zones' aggregates as their hubs send them, and how fresh they are."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -15,152 +15,166 @@
 )
 from egretrail.dispatch import AccountQuotas, FleetLoad, RepeatBudget, RepeatCounts
 
-#: A zone whose hub told nothing for this long has no loads that are worth anything: most of that
-#: work has ended. The hub of the own zone tells ten times a second, the others twice.
+#: After this time without a section, the loads of a zone are worthless: most of that work has
+#: ended. The hub of the own zone sends ten sections a second, those of other zones send two.
 _OWN_ZONE_SILENCE_S = 1.0
 _ZONE_SILENCE_S = 2.2
-#: The time after which a hub's next section is overdue: it grows with the zone as their interval
-#: does, and is three times as long.
+#: The time after which a hub's next section is overdue: three times the sending interval, which
+#: grows with the size of the zone.
 _LATE_INSTANCE_S = 0.0065
 _LATE_MIN_S, _LATE_MAX_S = 0.1, 0.35
-#: Other zones whose counts of accounts are overdue: hubs tell them four times a second.
+#: The time after which another zone's account counters are overdue; hubs send them four times a
+#: second.
 _ZONE_LATE_S = 0.8
-#: A hub that was not heard for this long may begin anew with a lower number: a clock was set back.
-_FORGOTTEN_S = 4.0
-#: Sections that may come in another order than they were sent: those of half a second.
-_WINDOW = 16
-_WINDOW_MASK = (1 << _WINDOW) - 1
+#: After this time without a section, a hub may restart with a lower number, since its clock may
+#: have been set back.
+_RESTART_SILENCE_S = 4.0
+#: The number of sections that may arrive out of order: those of half a second.
+_REORDER_WINDOW = 16
+_REORDER_MASK = (1 << _REORDER_WINDOW) - 1
 
 
 @dataclass(slots=True)
-class _Heard:
-    """The last section of one hub and scope."""
+class _ReceivedSections:
+    """The state of receiving one hub's sections of one scope."""
 
     #: The hub's lifetime.
     incarnation: int
-    #: The highest number of a section.
+    #: The highest sequence number received.
     sequence: int
-    #: The number of the next finding that is news.
-    next_finding: int
-    #: When it came.
-    heard_s: float
-    #: Which of the sections before the highest came: the lowest bit is that one.
-    seen: int = 1
+    #: The number of the next outcome report that is new.
+    next_outcome: int
+    #: When the last section arrived.
+    received_s: float
+    #: Bit mask of the received sequence numbers; the lowest bit stands for the highest number.
+    received_mask: int = 1
 
-    def admits(self, sequence: int) -> bool:
-        """Take the number of a section; return False for one that came before, or is too old.
+    def record_number(self, sequence: int) -> bool:
+        """Record a sequence number; return False for a duplicate or a number that is too old.
 
-        Datagrams of one moment may pass each other.
+        Datagrams sent at nearly the same time may arrive in another order.
         """
         ahead = sequence - self.sequence
         if ahead > 0:
-            self.seen = (self.seen << min(ahead, _WINDOW) | 1) & _WINDOW_MASK
+            self.received_mask = (
+                self.received_mask << min(ahead, _REORDER_WINDOW) | 1
+            ) & _REORDER_MASK
             self.sequence = sequence
             return True
         bit = 1 << -ahead
-        if -ahead >= _WINDOW or self.seen & bit:
+        if -ahead >= _REORDER_WINDOW or self.received_mask & bit:
             return False
-        self.seen |= bit
+        self.received_mask |= bit
         return True
 
 
 @dataclass(slots=True)
 class _Zone:
-    """What one zone told last."""
+    """The last known state of one zone."""
 
     #: The address of the hub.
     hub: str
-    #: The hub and its lifetime.
+    #: The hub's address and incarnation.
     lifetime: str
-    #: When it was heard.
-    heard_s: float
-    #: The instances whose counts are in its sums.
+    #: When the last section arrived.
+    received_s: float
+    #: The number of instances in the aggregates.
     instances: int
-    #: How many of them are in contact with the store.
+    #: The number of those instances that are in contact with the store.
     store_readers: int
-    #: Requests under way by upstream; of other zones only.
-    sums: dict[int, int]
-    #: Whether counts of repeats were heard of this lifetime, and of which services.
-    heard_counts: bool = False
+    #: Requests in flight by upstream key; for other zones only.
+    loads: dict[int, int]
+    #: Whether retry counts of this hub lifetime have arrived, and the services that they named.
+    has_retry_counts: bool = False
     services: set[str] = field(default_factory=set)
 
 
-class ZoneSums:
-    """Puts the sums of all zones where the decisions look for them.
+class ZoneAggregates:
+    """Feeds the aggregates of all zones into the load, retry and quota tables.
 
-    What an instance keeps grows with zones and upstreams; of other instances it holds no count.
+    The memory that it uses grows with the number of zones and upstreams; it holds no counts of
+    single instances.
     """
 
     def __init__(
-        self, own_zone: str, load: FleetLoad, repeats: RepeatBudget, quotas: AccountQuotas
+        self, own_zone: str, load: FleetLoad, retry_budget: RepeatBudget, quotas: AccountQuotas
     ) -> None:
         self._own_zone = own_zone
         self._load = load
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._quotas = quotas
-        self._share = ZoneShare()
-        self._place: int | None = None
+        self._zone_peers = ZoneShare()
+        self._ack_index: int | None = None
         self._zones: dict[str, _Zone] = {}
-        self._heard: dict[tuple[str, Scope], _Heard] = {}
+        self._received: dict[tuple[str, Scope], _ReceivedSections] = {}
 
-    def sent(self, beat: Beat, now_s: float) -> None:
-        """Remember a beat of this instance: the own zone's sums will include it."""
-        self._share.sent(beat, now_s)
+    def record_sent(self, heartbeat: Beat, now_s: float) -> None:
+        """Remember a heartbeat of this instance, which the own zone's aggregates will include."""
+        self._zone_peers.sent(heartbeat, now_s)
 
-    def told_repeats(self, now_s: float) -> Mapping[str, RepeatCounts]:
-        """Return this instance's counts of repeats that the zone has heard of."""
-        return self._share.told_repeats(now_s)
+    def known_retries(self, now_s: float) -> Mapping[str, RepeatCounts]:
+        """Return the part of this instance's retry counts that the zone's hub has aggregated."""
+        return self._zone_peers.told_repeats(now_s)
 
-    def skipped_findings(self, section: Section, now_s: float) -> int | None:
-        """Return how many findings of a section are known; None where all of it is old."""
+    def register_section(self, section: Section, now_s: float) -> int | None:
+        """Register a section; return how many of its outcome reports are known.
+
+        None means that the whole section is a duplicate or out of date.
+        """
         key = (section.hub, section.scope)
-        heard = self._heard.get(key)
+        received = self._received.get(key)
         end = section.first_finding + len(section.findings)
-        silent = heard is not None and now_s - heard.heard_s > _FORGOTTEN_S
-        if heard is None or silent or heard.incarnation < section.incarnation:
-            self._heard[key] = _Heard(section.incarnation, section.sequence, end, now_s)
+        silent = received is not None and now_s - received.received_s > _RESTART_SILENCE_S
+        if received is None or silent or received.incarnation < section.incarnation:
+            self._received[key] = _ReceivedSections(
+                section.incarnation, section.sequence, end, now_s
+            )
             return 0
-        if heard.incarnation > section.incarnation or not heard.admits(section.sequence):
+        if received.incarnation > section.incarnation or not received.record_number(
+            section.sequence
+        ):
             return None
-        heard.heard_s = now_s
-        skip = max(heard.next_finding - section.first_finding, 0)
-        heard.next_finding = max(heard.next_finding, end)
+        received.received_s = now_s
+        skip = max(received.next_outcome - section.first_finding, 0)
+        received.next_outcome = max(received.next_outcome, end)
         return skip
 
-    def take(self, section: Section, ids: Mapping[int, str], now_s: float) -> None:
-        """Take the sums of a section; ``ids`` are the listed upstreams by key."""
-        zone = self._zone_of(section, now_s)
+    def apply_section(self, section: Section, ids_by_key: Mapping[int, str], now_s: float) -> None:
+        """Apply the aggregates of a section; ``ids_by_key`` holds the listed upstreams."""
+        zone = self._update_zone(section, now_s)
         if section.scope is Scope.ZONE:
-            self._take_own(section, zone, ids, now_s)
+            self._apply_own_zone(section, zone, ids_by_key, now_s)
             return
         if section.loads is not None:
-            touched = replace_part(zone.sums, section.loads)
-            counts = {ids[key]: zone.sums.get(key, 0) for key in touched if key in ids}
+            changed_keys = replace_part(zone.loads, section.loads)
+            counts = {
+                ids_by_key[key]: zone.loads.get(key, 0) for key in changed_keys if key in ids_by_key
+            }
             self._load.changed(section.availability_zone, counts, now_s)
         self._quotas.told(zone.lifetime, section.accounts, now_s)
-        self._tell_repeats(zone, section.repeats, now_s)
-        zone.heard_counts = True
+        self._record_retries(zone, section.repeats, now_s)
+        zone.has_retry_counts = True
 
-    def find_place(self, roster: RosterSlice, own_address: str) -> None:
-        """Look up this instance's place in the acknowledgements of its hub."""
+    def update_ack_index(self, roster: RosterSlice, own_address: str) -> None:
+        """Look up this instance's index in its hub's acknowledgements."""
         if address_part(own_address, roster.of) != roster.number:
             return
-        # The place of an instance that is not listed any more will be another one's.
-        self._place = None
-        for instance, place in zip(roster.instances, roster.places, strict=True):
+        # An instance that is no longer listed loses its index to another instance.
+        self._ack_index = None
+        for instance, ack_index in zip(roster.instances, roster.places, strict=True):
             if instance.address == own_address:
-                self._place = place
+                self._ack_index = ack_index
 
     def acknowledged_s(self) -> float | None:
-        """Return when the newest beat was sent that the followed hub has; None for none."""
-        return self._share.acknowledged_s
+        """Return when the newest acknowledged heartbeat was sent; None if none is acknowledged."""
+        return self._zone_peers.acknowledged_s
 
     def acknowledged_sequence(self) -> int | None:
-        """Return the number of the newest beat that the followed hub has; None for none."""
-        return self._share.acknowledged_sequence
+        """Return the number of the newest acknowledged heartbeat; None if none is acknowledged."""
+        return self._zone_peers.acknowledged_sequence
 
     def echoes(self) -> Sequence[SectionEcho]:
-        """Return the last sections that were heard of the other zones' hubs."""
+        """Return the ids of the last sections received from the hubs of other zones."""
         return [
             echo
             for name, zone in self._zones.items()
@@ -168,115 +182,126 @@
         ]
 
     def own_echo(self) -> SectionEcho | None:
-        """Return the last section that was heard of the own zone's hub."""
+        """Return the id of the last section received from the own zone's hub; None for a silent
+        zone.
+        """
         zone = self._zones.get(self._own_zone)
         return None if zone is None else self._echo(zone.hub, Scope.ZONE)
 
     def hub(self, availability_zone: str) -> str | None:
-        """Return the hub of a zone that was heard last; None for a silent zone."""
+        """Return the hub that last sent a section for a zone; None for a silent zone."""
         zone = self._zones.get(availability_zone)
         return None if zone is None else zone.hub
 
-    def heard_s(self, availability_zone: str) -> float:
-        """Return when a zone was heard last."""
+    def last_received_s(self, availability_zone: str) -> float:
+        """Return when the last section of a zone arrived; minus infinity for a silent zone."""
         zone = self._zones.get(availability_zone)
-        return float("-inf") if zone is None else zone.heard_s
+        return float("-inf") if zone is None else zone.received_s
 
     def expire(self, now_s: float) -> Sequence[str]:
-        """Drop and return the zones that were silent for too long."""
-        silent = [name for name, zone in self._zones.items() if not self._fresh(name, zone, now_s)]
+        """Remove and return the zones that have been silent for too long."""
+        silent = [
+            name for name, zone in self._zones.items() if not self._is_fresh(name, zone, now_s)
+        ]
         for name in silent:
             lifetime = self._zones.pop(name).lifetime
-            self._repeats.forget(lifetime)
+            self._retry_budget.forget(lifetime)
             self._quotas.forget(lifetime)
             self._load.forget(name)
             if name == self._own_zone:
-                self._start_anew()
+                self._reset_own_zone()
         return silent
 
     def instances(self, now_s: float) -> int:
-        """Return the number of instances whose counts arrive here, this one included."""
-        told = 0
+        """Return the number of instances whose counts arrive here, including this one."""
+        reported = 0
         for name, zone in self._zones.items():
-            # Without an acknowledgement nothing of the own zone's sums is known to be the others'.
-            counts = name != self._own_zone or self._share.acknowledged_s is not None
-            if counts and self._fresh(name, zone, now_s):
-                told += zone.instances
-        return max(told, 1)
+            # Until a heartbeat is acknowledged, the own zone's aggregates can't be split into own
+            # and peers' counts.
+            counts = name != self._own_zone or self._zone_peers.acknowledged_s is not None
+            if counts and self._is_fresh(name, zone, now_s):
+                reported += zone.instances
+        return max(reported, 1)
 
     def is_late(self, now_s: float) -> bool:
-        """Return whether the own zone's hub has just fallen silent, and another takes over soon."""
+        """Return whether the own hub's section is overdue, so that a takeover may follow."""
         zone = self._zones.get(self._own_zone)
         if zone is None:
             return False
         late_s = min(max(zone.instances * _LATE_INSTANCE_S, _LATE_MIN_S), _LATE_MAX_S)
-        return late_s < now_s - zone.heard_s <= _OWN_ZONE_SILENCE_S
+        return late_s < now_s - zone.received_s <= _OWN_ZONE_SILENCE_S
 
-    def hears_all(self, now_s: float) -> bool:
-        """Return whether all zones that are known tell what they should."""
+    def receives_all_zones(self, now_s: float) -> bool:
+        """Return whether the sections of all known zones arrive on time."""
         if self._own_zone not in self._zones or self.is_late(now_s):
             return False
-        return all(now_s - zone.heard_s <= _ZONE_LATE_S for zone in self._zones.values())
+        return all(now_s - zone.received_s <= _ZONE_LATE_S for zone in self._zones.values())
 
     def store_readers(self, now_s: float) -> int:
-        """Return how many instances are in contact with the store, this one included."""
+        """Return the number of instances in contact with the store, including this one."""
         return sum(
             zone.store_readers
             for name, zone in self._zones.items()
-            if self._fresh(name, zone, now_s)
+            if self._is_fresh(name, zone, now_s)
         )
 
     def _echo(self, hub: str, scope: Scope) -> SectionEcho | None:
-        heard = self._heard.get((hub, scope))
-        return None if heard is None else SectionEcho(hub, heard.incarnation, heard.sequence)
+        received = self._received.get((hub, scope))
+        return (
+            None if received is None else SectionEcho(hub, received.incarnation, received.sequence)
+        )
 
-    def _fresh(self, name: str, zone: _Zone, now_s: float) -> bool:
+    def _is_fresh(self, name: str, zone: _Zone, now_s: float) -> bool:
         limit_s = _OWN_ZONE_SILENCE_S if name == self._own_zone else _ZONE_SILENCE_S
-        return now_s - zone.heard_s <= limit_s
+        return now_s - zone.received_s <= limit_s
 
-    def _zone_of(self, section: Section, now_s: float) -> _Zone:
+    def _update_zone(self, section: Section, now_s: float) -> _Zone:
         name = section.availability_zone
         lifetime = f"{section.hub}~{section.incarnation}"
         zone = self._zones.get(name)
         if zone is None or zone.lifetime != lifetime:
             if zone is not None:
-                self._repeats.forget(zone.lifetime)
+                self._retry_budget.forget(zone.lifetime)
                 self._quotas.forget(zone.lifetime)
             if name == self._own_zone:
-                self._start_anew()
-            sums = zone.sums if zone is not None else {}
-            zone = self._zones[name] = _Zone(section.hub, lifetime, now_s, 0, 0, sums)
-        zone.heard_s = now_s
+                self._reset_own_zone()
+            loads = zone.loads if zone is not None else {}
+            zone = self._zones[name] = _Zone(section.hub, lifetime, now_s, 0, 0, loads)
+        zone.received_s = now_s
         zone.instances = section.instances
         zone.store_readers = section.store_readers
         return zone
 
-    def _start_anew(self) -> None:
-        """Begin with another hub of the own zone: its sums are others, and so is the place."""
-        self._share.start_anew()
+    def _reset_own_zone(self) -> None:
+        """Discard the state of the previous hub, whose aggregates and acknowledgement indexes
+        differ.
+        """
+        self._zone_peers.start_anew()
         self._load.forget(self._own_zone)
-        self._place = None
+        self._ack_index = None
 
-    def _take_own(
-        self, section: Section, zone: _Zone, ids: Mapping[int, str], now_s: float
+    def _apply_own_zone(
+        self, section: Section, zone: _Zone, ids_by_key: Mapping[int, str], now_s: float
     ) -> None:
-        own_before = set(self._share.own_keys())
-        self._share.take(section, self._place)
+        own_before = set(self._zone_peers.own_keys())
+        self._zone_peers.take(section, self._ack_index)
         if section.accounts:
-            self._quotas.acknowledged(self._share.acknowledged_accounts)
+            self._quotas.acknowledged(self._zone_peers.acknowledged_accounts)
             self._quotas.told(zone.lifetime, section.accounts, now_s)
-        touched = own_before | set(self._share.own_keys())
-        counts = {**self._share.of_others(touched), **self._share.loads(section)}
-        told = {ids[key]: count for key, count in counts.items() if key in ids}
-        self._load.changed(self._own_zone, told, now_s)
-        # These begin at nothing with each hub that is followed.
-        zone.heard_counts = True
-        self._tell_repeats(zone, self._share.repeats(), now_s)
-
-    def _tell_repeats(self, zone: _Zone, totals: Mapping[str, RepeatCounts], now_s: float) -> None:
+        changed_keys = own_before | set(self._zone_peers.own_keys())
+        counts = {**self._zone_peers.of_others(changed_keys), **self._zone_peers.loads(section)}
+        reported = {ids_by_key[key]: count for key, count in counts.items() if key in ids_by_key}
+        self._load.changed(self._own_zone, reported, now_s)
+        # Retry counts start at zero with each hub that is followed.
+        zone.has_retry_counts = True
+        self._record_retries(zone, self._zone_peers.repeats(), now_s)
+
+    def _record_retries(
+        self, zone: _Zone, totals: Mapping[str, RepeatCounts], now_s: float
+    ) -> None:
         for service, total in totals.items():
-            if zone.heard_counts and service not in zone.services:
-                # It was not in the sums before: all of it is new.
-                self._repeats.told(zone.lifetime, service, RepeatCounts(), now_s)
+            if zone.has_retry_counts and service not in zone.services:
+                # The service was not in the earlier aggregates, so all of its counts are new.
+                self._retry_budget.told(zone.lifetime, service, RepeatCounts(), now_s)
             zone.services.add(service)
-            self._repeats.told(zone.lifetime, service, total, now_s)
+            self._retry_budget.told(zone.lifetime, service, total, now_s)
--- a/src/egretrail/gateway/tests/fleet.py
+++ b/src/egretrail/gateway/tests/fleet.py
@@ -17,20 +17,20 @@
 
 
 class Fleet:
-    """Instances ``10.0.Z.N`` of zones ``z0``, ``z1``, with upstreams that all have listed."""
+    """Instances ``10.0.Z.N`` of zones ``z0``, ``z1``, ..., which all list the same upstreams."""
 
     def __init__(self, sizes: Sequence[int]) -> None:
         self.network = SimulatedNetwork()
-        #: How instances fetch state from each other; None where they do not.
+        #: The streams over which instances fetch state; None if they do not fetch.
         self.streams: SimulatedStreams | None = None
         self.views: dict[str, FleetView] = {}
         self.addresses = [f"10.0.{z}.{n}" for z, size in enumerate(sizes) for n in range(size)]
         self.links: dict[str, SimulatedLinks] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self._incarnations: dict[str, int] = {}
-        #: The share of a core of single instances; 1 of all others.
+        #: The capacities of single instances; 1 for all others.
         self.capacities: dict[str, float] = {}
-        #: When keys are refused at the latest that have ended; None for no bound.
+        #: The maximum age of a configuration's confirmation for accepting keys; None for no limit.
         self.revocation_s: float | None = None
 
     def start(self, address: str, contacts: Sequence[str]) -> asyncio.Task[None]:
@@ -71,32 +71,32 @@
         await links.beat_forever()
 
     def kill(self, address: str) -> None:
-        """End an instance without a word."""
+        """Crash an instance."""
         self.tasks.pop(address).cancel()
         links = self.network.links.pop(address)
         del self.links[address], self.views[address]
-        links.end()
+        links.stop()
         links.state.stop()
         if self.streams is not None:
-            self.streams.lose(address)
+            self.streams.drop_host(address)
 
-    def freeze(self, address: str) -> None:
-        """Let an instance neither send nor take anything; its timers run on and are lost."""
-        self.network.frozen.add(address)
+    def pause(self, address: str) -> None:
+        """Pause a process: it neither sends nor receives, and what its timers send is lost."""
+        self.network.paused.add(address)
 
-    def thaw(self, address: str) -> None:
-        """Let a frozen instance go on."""
-        self.network.frozen.discard(address)
+    def resume(self, address: str) -> None:
+        """Resume a paused process."""
+        self.network.paused.discard(address)
 
     def hub(self, zone: int) -> str:
-        """Return the hub of a zone; the first where there are several."""
+        """Return the hub of a zone; the first one if there are several."""
         hubs = [
             a for a, links in self.links.items() if links.is_hub and a.startswith(f"10.0.{zone}.")
         ]
         return hubs[0]
 
     def stop(self) -> None:
-        """End all instances."""
+        """Stop all instances."""
         for task in self.tasks.values():
             task.cancel()
 
@@ -104,6 +104,6 @@
         self._incarnations[address] = self._incarnations.get(address, 0) + 1_000
         return self._incarnations[address]
 
-    def known(self, address: str) -> set[str]:
-        """Return the instances that one holds for living, with itself."""
+    def known_instances(self, address: str) -> set[str]:
+        """Return the instances that an instance takes as alive, including itself."""
         return {one.address for one in self.views[address].membership.instances()} | {address}
--- a/src/egretrail/gateway/tests/streams.py
+++ b/src/egretrail/gateway/tests/streams.py
@@ -8,28 +8,28 @@
 
 from egretrail.gateway.tests.network import SimulatedNetwork
 
-#: The instance on whose behalf code runs; tasks and timers inherit it.
+#: The address of the instance whose code is running; tasks and timers inherit it.
 OWN_ADDRESS: contextvars.ContextVar[str] = contextvars.ContextVar("own_address")
 
-#: What one stream has on its way at a time.
+#: The maximum bytes in transit on one stream.
 _WINDOW_BYTES = 32_768
-#: What is lost on its way is sent again after this time, doubled each time.
+#: The retransmission time-out, doubled each time.
 _RESEND_FIRST_S = 0.2
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class _Pipe:
-    """One direction of a stream: pieces wait for the sender's link, then for the receiver's."""
+    """One direction of a stream: chunks wait for the sender's link, then for the receiver's."""
 
     def __init__(self, network: SimulatedNetwork, sender: str, target: str) -> None:
         self._network = network
         self._sender = sender
         self._target = target
-        self.ends = frozenset({sender, target})
+        self.endpoints = frozenset({sender, target})
         self._buffer = bytearray()
         self._wake = asyncio.Event()
-        self._ending = False
+        self._is_ending = False
         self.reader = asyncio.StreamReader()
         self._task = asyncio.get_running_loop().create_task(self._pump())
 
@@ -39,24 +39,24 @@
         self._wake.set()
 
     def end(self) -> None:
-        """End the stream after what was written."""
-        self._ending = True
+        """End the stream after the queued bytes."""
+        self._is_ending = True
         self._wake.set()
 
     def abort(self) -> None:
-        """Lose what is on its way."""
+        """Discard the bytes in transit and close the stream."""
         self._task.cancel()
         self._buffer.clear()
         if not self.reader.at_eof():
             self.reader.feed_eof()
 
-    def lose(self) -> None:
-        """Lose what is on its way, and tell nobody: one end is dead."""
+    def drop(self) -> None:
+        """Discard the bytes in transit without closing the stream, as if one host had crashed."""
         self._task.cancel()
         self._buffer.clear()
 
     def is_done(self) -> bool:
-        """Return whether nothing is carried any more."""
+        """Return whether the transfer has ended."""
         return self._task.done()
 
     async def drain(self) -> None:
@@ -67,7 +67,7 @@
     async def _pump(self) -> None:
         while True:
             if not self._buffer:
-                if self._ending:
+                if self._is_ending:
                     self.reader.feed_eof()
                     return
                 self._wake.clear()
@@ -76,8 +76,8 @@
             piece = bytes(self._buffer[:_WINDOW_BYTES])
             del self._buffer[:_WINDOW_BYTES]
             resend_s = _RESEND_FIRST_S
-            await asyncio.sleep(self._network.carry(self._sender, self._target, len(piece)))
-            # Without acknowledgements the other way a piece is sent again too.
+            await asyncio.sleep(self._network.reserve_links(self._sender, self._target, len(piece)))
+            # A chunk whose acknowledgement cannot arrive is retransmitted as well.
             while not self._network.reaches_both_ways(self._sender, self._target):
                 await asyncio.sleep(resend_s)
                 resend_s *= 2
@@ -85,7 +85,7 @@
 
 
 class _Writer:
-    """The part of a stream's writer that the exchange uses."""
+    """The part of asyncio's stream writer that the exchange uses."""
 
     def __init__(self, out: _Pipe, into: _Pipe) -> None:
         self._out = out
@@ -102,54 +102,54 @@
         self._into.abort()
 
     def is_closing(self) -> bool:
-        return self._out._ending
+        return self._out._is_ending
 
 
 class _Listener:
     def close(self) -> None:
-        """Go on: nobody closes a listener and goes on in these tests."""
+        """Do nothing: no test closes a listener and continues."""
 
 
 class SimulatedStreams:
-    """Stands for the sockets of all instances of one network."""
+    """Replaces the sockets of all instances of one network."""
 
     def __init__(self, network: SimulatedNetwork) -> None:
         self._network = network
         self._servers: dict[str, tuple[Serve, contextvars.Context]] = {}
-        #: Addresses that take connections after this time and then say nothing, while their
+        #: Delays after which addresses accept a connection without serving it, while their
         #: datagrams arrive.
-        self.silent_s: dict[str, float] = {}
-        #: Addresses of instances that were lost with their machines: nothing answers there.
-        self._lost: set[str] = set()
+        self.stalled_connect_s: dict[str, float] = {}
+        #: Addresses of crashed hosts, from which no answer comes.
+        self._lost_hosts: set[str] = set()
         self._pipes: list[_Pipe] = []
 
-    def lose(self, address: str) -> None:
-        """End an instance's streams without a word; whoever asks there waits."""
+    def drop_host(self, address: str) -> None:
+        """Crash a host: its streams stall without being closed."""
         self._servers.pop(address, None)
-        self._lost.add(address)
+        self._lost_hosts.add(address)
         for pipe in self._pipes:
-            if address in pipe.ends:
-                pipe.lose()
+            if address in pipe.endpoints:
+                pipe.drop()
 
     async def start_server(self, serve: Serve, host: str, port: int, **_: object) -> _Listener:
         """Listen on an address."""
-        self._lost.discard(host)
+        self._lost_hosts.discard(host)
         self._servers[host] = (serve, contextvars.copy_context())
         return _Listener()
 
     async def open_connection(self, host: str, port: int) -> tuple[asyncio.StreamReader, _Writer]:
-        """Connect the instance that runs to another one; a cut way hangs."""
+        """Connect the running instance to another one; without a network path it hangs."""
         own = OWN_ADDRESS.get()
-        if host in self._lost or not self._network.reaches_both_ways(own, host):
+        if host in self._lost_hosts or not self._network.reaches_both_ways(own, host):
             await asyncio.sleep(3600.0)
-        if host in self.silent_s:
-            await asyncio.sleep(self.silent_s[host])
+        if host in self.stalled_connect_s:
+            await asyncio.sleep(self.stalled_connect_s[host])
             there, back = _Pipe(self._network, own, host), _Pipe(self._network, host, own)
             return back.reader, _Writer(there, back)
         if host not in self._servers:
             raise ConnectionRefusedError(host)
-        await asyncio.sleep(self._network.carry(own, host, 0) * 2)
-        if host in self._lost:
+        await asyncio.sleep(self._network.reserve_links(own, host, 0) * 2)
+        if host in self._lost_hosts:
             await asyncio.sleep(3600.0)
         serve, context = self._servers[host]
         there, back = _Pipe(self._network, own, host), _Pipe(self._network, host, own)
@@ -160,7 +160,7 @@
 
     @contextlib.contextmanager
     def in_place_of_sockets(self) -> Iterator[None]:
-        """Let asyncio's streams go over this network."""
+        """Replace asyncio's streams by those of this network."""
         with (
             mock.patch("asyncio.open_connection", self.open_connection),
             mock.patch("asyncio.start_server", self.start_server),
--- a/src/egretrail/gateway/tests/test_config_proof.py
+++ b/src/egretrail/gateway/tests/test_config_proof.py
@@ -1,4 +1,4 @@
-"""What each instance holds for the moment up to which its configuration is the newest one."""
+"""Until when each instance takes its configuration as confirmed as current."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -15,26 +15,26 @@
 
 
 class _Store:
-    """Answers the hubs of some zones each second, and remembers up to when they know of it."""
+    """Answers the hubs of some zones each second, and records when it last did."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.reading_zones = {0, 1}
-        self.answered_s = float("-inf")
+        self.last_answer_s = float("-inf")
 
     async def run(self) -> None:
         while True:
             now_s = asyncio.get_running_loop().time()
             for address, links in self.fleet.links.items():
                 if links.is_hub and int(address.split(".")[2]) in self.reading_zones:
-                    self.answered_s = now_s
+                    self.last_answer_s = now_s
                     view = self.fleet.views[address]
                     view.set_store_contact(True)
                     view.prove_config(now_s)
             await asyncio.sleep(1.0)
 
 
-async def _calm(fleet: Fleet, store: _Store) -> None:
+async def _no_failure(fleet: Fleet, store: _Store) -> None:
     await asyncio.sleep(2.0)
 
 
@@ -47,7 +47,7 @@
     fleet.kill(fleet.hub(2))
 
 
-async def _lossy(fleet: Fleet, store: _Store) -> None:
+async def _lose_datagrams(fleet: Fleet, store: _Store) -> None:
     fleet.network.loss = 0.1
 
 
@@ -59,20 +59,20 @@
 
 
 async def _suspend_some(fleet: Fleet, store: _Store) -> None:
-    """What was sent before and meanwhile is read seconds later."""
+    """Messages sent before and during the suspension are read seconds later."""
     suspended = [fleet.hub(0), fleet.hub(1), *fleet.addresses[5::7]]
     for address in dict.fromkeys(suspended):
-        fleet.network.unread[address] = []
+        fleet.network.undelivered[address] = []
     await asyncio.sleep(4.0)
-    for address in list(fleet.network.unread):
-        fleet.network.resume(address)
+    for address in list(fleet.network.undelivered):
+        fleet.network.deliver_pending(address)
 
 
-Trouble = Callable[[Fleet, _Store], Coroutine[Any, Any, None]]
+Failure = Callable[[Fleet, _Store], Coroutine[Any, Any, None]]
 
 
-class ConfigProofTest(EgretrailTestCase):
-    def _play(self, check: Callable[[Fleet, _Store], Awaitable[None]]) -> None:
+class ConfigFreshnessTest(EgretrailTestCase):
+    def _run(self, check: Callable[[Fleet, _Store], Awaitable[None]]) -> None:
         async def run() -> None:
             fleet = Fleet([8, 8, 8])
             fleet.revocation_s = _REVOCATION_S
@@ -90,39 +90,39 @@
 
         self.run_paused(run())
 
-    def _check_sound(self, fleet: Fleet, store: _Store) -> None:
+    def _check_not_newer(self, fleet: Fleet, store: _Store) -> None:
         now_s = asyncio.get_running_loop().time()
         for address, view in fleet.views.items():
             newest_s = now_s - view.proof.age_s
-            self.assertLessEqual(newest_s, store.answered_s + 1e-6, address)
+            self.assertLessEqual(newest_s, store.last_answer_s + 1e-6, address)
 
     @cases(
         {
-            "calm": _calm,
+            "calm": _no_failure,
             "one zone reads": _one_reader,
             "hubs are killed": _kill_hubs,
-            "a tenth of the datagrams is lost": _lossy,
+            "a tenth of the datagrams is lost": _lose_datagrams,
             "some are restarted": _restart_some,
             "some are suspended and read old datagrams": _suspend_some,
         }
     )
-    def test_proofs_are_never_newer_than_the_stores_answers_and_keys_are_taken_again(
-        self, trouble: Trouble
+    def test_confirmations_are_never_newer_than_the_stores_answers_and_keys_are_accepted_again(
+        self, failure: Failure
     ) -> None:
         async def check(fleet: Fleet, store: _Store) -> None:
-            troubled = asyncio.create_task(trouble(fleet, store))
+            failing = asyncio.create_task(failure(fleet, store))
             for _ in range(100):
                 await asyncio.sleep(0.05)
-                self._check_sound(fleet, store)
-            await troubled
+                self._check_not_newer(fleet, store)
+            await failing
             for _ in range(60):
                 await asyncio.sleep(0.05)
-                self._check_sound(fleet, store)
+                self._check_not_newer(fleet, store)
             self.assertTrue(all(view.takes_keys for view in fleet.views.values()))
 
-        self._play(check)
+        self._run(check)
 
-    def test_an_instance_that_hears_of_nothing_refuses_keys_in_time(self) -> None:
+    def test_an_isolated_instance_refuses_keys_in_time(self) -> None:
         async def check(fleet: Fleet, store: _Store) -> None:
             last_zone = [a for a in fleet.addresses if a.startswith("10.0.2.")]
             alone = next(a for a in last_zone if not fleet.links[a].is_hub)
@@ -138,9 +138,9 @@
             await asyncio.sleep(2.0)
             self.assertTrue(fleet.views[alone].takes_keys)
 
-        self._play(check)
+        self._run(check)
 
-    def test_without_any_answer_of_the_store_all_refuse_keys_in_time(self) -> None:
+    def test_all_refuse_keys_in_time_in_a_store_outage(self) -> None:
         async def check(fleet: Fleet, store: _Store) -> None:
             store.reading_zones = set()
             await asyncio.sleep(_REVOCATION_S)
@@ -149,9 +149,9 @@
                 view.take_config(at_once(part_config(FleetConfig(8, [], {}, ClientLimits()))), "t")
             self.assertTrue(all(view.takes_keys for view in fleet.views.values()))
 
-        self._play(check)
+        self._run(check)
 
-    def test_an_instance_that_lacks_a_version_takes_no_proof_of_it(self) -> None:
+    def test_an_instance_that_lacks_a_version_does_not_apply_its_confirmation(self) -> None:
         async def check(fleet: Fleet, store: _Store) -> None:
             newer = at_once(part_config(FleetConfig(8, [], {}, ClientLimits(), [_ACCOUNT])))
             behind = next(a for a in fleet.addresses if not fleet.links[a].is_hub)
@@ -164,4 +164,4 @@
             await asyncio.sleep(1.0)
             self.assertTrue(fleet.views[behind].takes_keys)
 
-        self._play(check)
+        self._run(check)
--- a/src/egretrail/gateway/tests/test_config_state.py
+++ b/src/egretrail/gateway/tests/test_config_state.py
@@ -1,4 +1,4 @@
-"""When an instance may say that no route takes a request."""
+"""When an instance may answer that no route matches a request."""
 
 import asyncio
 import os
@@ -19,83 +19,83 @@
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import ClientLimits, FleetConfig
 
-#: How often a peer names its version.
-_WORD_S = 0.25
+#: How often a peer reports its version.
+_REPORT_INTERVAL_S = 0.25
 
 Act = Callable[[FleetView], Awaitable[None]]
 
 
-async def _peers_say(view: FleetView, version: int, for_s: float) -> None:
-    for _ in range(int(for_s / _WORD_S)):
-        view.configs.heard_of(version)
-        await asyncio.sleep(_WORD_S)
+async def _report_version(view: FleetView, version: int, for_s: float) -> None:
+    for _ in range(int(for_s / _REPORT_INTERVAL_S)):
+        view.configs.record_peer_version(version)
+        await asyncio.sleep(_REPORT_INTERVAL_S)
 
 
-def _other_zone(view: FleetView, *, reads_store: bool) -> None:
-    """Let the hub of another zone tell what its zone knows."""
+def _receive_section(view: FleetView, *, reads_store: bool) -> None:
+    """Apply a section of another zone's hub."""
     now_s = asyncio.get_running_loop().time()
     instance = Instance("10.0.1.1", "z1", 1, InstanceState.READY, 1.0)
     view.membership.introduce(instance, now_s)
-    told = Section(Scope.ACROSS, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 0, 4)
+    section = Section(Scope.ACROSS, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 0, 4)
     if reads_store:
-        told = Section(Scope.ACROSS, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 1, 4)
-    view.take_section(told, followed=True)
+        section = Section(Scope.ACROSS, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 1, 4)
+    view.apply_section(section, followed=True)
 
 
-async def _cut_off(view: FleetView) -> None:
-    _other_zone(view, reads_store=False)
-    await _peers_say(view, 1, 10.0)
+async def _isolated_zone(view: FleetView) -> None:
+    _receive_section(view, reads_store=False)
+    await _report_version(view, 1, 10.0)
 
 
-async def _store_away_from_all(view: FleetView) -> None:
+async def _store_outage(view: FleetView) -> None:
     for _ in range(20):
-        _other_zone(view, reads_store=False)
-        await _peers_say(view, 1, 0.5)
+        _receive_section(view, reads_store=False)
+        await _report_version(view, 1, 0.5)
 
 
 async def _another_zone_reads(view: FleetView) -> None:
     for _ in range(20):
-        _other_zone(view, reads_store=True)
-        await _peers_say(view, 1, 0.5)
+        _receive_section(view, reads_store=True)
+        await _report_version(view, 1, 0.5)
 
 
-async def _newer_heard(view: FleetView) -> None:
+async def _newer_version_reported(view: FleetView) -> None:
     view.configs.reaches_store = True
-    await _peers_say(view, 2, 1.0)
+    await _report_version(view, 2, 1.0)
 
 
-async def _odd_version_heard_once(view: FleetView) -> None:
+async def _odd_version_reported_once(view: FleetView) -> None:
     view.configs.reaches_store = True
-    view.configs.heard_of(2**40)
-    await _peers_say(view, 1, 30.0)
+    view.configs.record_peer_version(2**40)
+    await _report_version(view, 1, 30.0)
 
 
 async def _starting_peers(view: FleetView) -> None:
-    await _peers_say(view, 0, 10.0)
+    await _report_version(view, 0, 10.0)
 
 
 class CurrentTest(EgretrailTestCase):
-    """Callers take 404 for final; an instance that may be behind must not say it."""
+    """Clients take a 404 as final, so an instance that may be behind must not answer it."""
 
     @cases(
         {
             "another zone reaches the store": (_another_zone_reads, True),
-            "no zone reaches the store": (_store_away_from_all, True),
-            "a zone that is cut off from the others and the store": (_cut_off, False),
-            "a newer version is known of": (_newer_heard, False),
-            "a version that was named once and has not come": (_odd_version_heard_once, True),
+            "no zone reaches the store": (_store_outage, True),
+            "a zone that is cut off from the others and the store": (_isolated_zone, False),
+            "a newer version is known of": (_newer_version_reported, False),
+            "a version that was named once and has not come": (_odd_version_reported_once, True),
             "only starting peers are heard": (_starting_peers, False),
         }
     )
-    def test_it_knows_what_is_in_force(self, case: tuple[Act, bool]) -> None:
+    def test_is_config_current(self, case: tuple[Act, bool]) -> None:
         act, expected = case
 
         async def run() -> None:
             loop = asyncio.get_running_loop()
             log = EventLog("test", descriptor=os.open(os.devnull, os.O_WRONLY))
             view = FleetView(gateway_settings(zone="z0"), 1, loop.time, log, random.Random(1))
-            parted = at_once(part_config(FleetConfig(1, [], {}, ClientLimits())))
-            view.take_config(parted, "test")
+            chunked = at_once(part_config(FleetConfig(1, [], {}, ClientLimits())))
+            view.take_config(chunked, "test")
             await act(view)
             view.expire()
             self.assertIs(expected, view.knows_config_is_current)
--- a/src/egretrail/gateway/tests/test_hubs_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_hubs_in_trouble.py
@@ -1,4 +1,4 @@
-"""Zones whose hubs are killed, frozen, cut off, stopped and started again."""
+"""Zones whose hubs are killed, paused, cut off, stopped and restarted."""
 
 import asyncio
 import random
@@ -8,10 +8,10 @@
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.testing import EgretrailTestCase, cases
 
-#: After this time nobody holds a dead instance for living, or misses a living one.
+#: After this time every instance's membership is exact.
 _SETTLED_S = 3.0
 
-Trouble = Callable[[Fleet], Awaitable[None]]
+Failure = Callable[[Fleet], Awaitable[None]]
 
 
 async def _kill_hub(fleet: Fleet) -> None:
@@ -50,7 +50,7 @@
         fleet.start(address, fleet.addresses[-3:])
 
 
-async def _leave(fleet: Fleet) -> None:
+async def _stop_hub(fleet: Fleet) -> None:
     hub = fleet.hub(0)
     fleet.views[hub].leaving = True
     fleet.links[hub].leave()
@@ -58,20 +58,20 @@
     fleet.kill(hub)
 
 
-async def _freeze_hub(fleet: Fleet) -> None:
+async def _pause_hub(fleet: Fleet) -> None:
     hub = fleet.hub(0)
-    fleet.freeze(hub)
+    fleet.pause(hub)
     await asyncio.sleep(4.0)
-    fleet.thaw(hub)
+    fleet.resume(hub)
 
 
-async def _deaf_hub(fleet: Fleet) -> None:
+async def _cut_inbound_to_hub(fleet: Fleet) -> None:
     hub = fleet.hub(0)
     others = [a for a in fleet.addresses if a != hub]
     fleet.network.cut_one_way |= {(other, hub) for other in others[:4]}
 
 
-async def _mute_hub(fleet: Fleet) -> None:
+async def _cut_outbound_from_hub(fleet: Fleet) -> None:
     hub = fleet.hub(0)
     others = [a for a in fleet.addresses if a != hub]
     fleet.network.cut_one_way |= {(hub, other) for other in others[:4]}
@@ -83,11 +83,11 @@
     fleet.network.cut |= {frozenset({hub, other}) for other in others[:3]}
 
 
-async def _lossy(fleet: Fleet) -> None:
+async def _lose_datagrams(fleet: Fleet) -> None:
     fleet.network.loss = 0.1
 
 
-async def _cut_zones(fleet: Fleet) -> None:
+async def _partition_zones(fleet: Fleet) -> None:
     pairs = {
         frozenset({one, other})
         for one in fleet.addresses
@@ -99,47 +99,47 @@
     fleet.network.cut -= pairs
 
 
-_TROUBLES: dict[str, Trouble] = {
+_FAILURES: dict[str, Failure] = {
     "a hub is killed": _kill_hub,
     "a hub and the next one are killed": _kill_hub_and_next,
     "the hubs of two zones are killed": _kill_both_hubs,
     "half of the fleet is killed": _kill_half,
     "a hub is restarted": _restart_hub,
     "all are restarted": _restart_all,
-    "a hub is stopped": _leave,
-    "a hub freezes and wakes": _freeze_hub,
-    "a hub does not hear some": _deaf_hub,
-    "some do not hear the hub": _mute_hub,
+    "a hub is stopped": _stop_hub,
+    "a hub freezes and wakes": _pause_hub,
+    "a hub does not hear some": _cut_inbound_to_hub,
+    "some do not hear the hub": _cut_outbound_from_hub,
     "some are cut off from the hub": _cut_from_hub,
-    "a tenth of the datagrams is lost": _lossy,
-    "zones are cut off for some time": _cut_zones,
+    "a tenth of the datagrams is lost": _lose_datagrams,
+    "zones are cut off for some time": _partition_zones,
 }
 
 
-class HubsInTroubleTest(EgretrailTestCase):
-    def _play(self, trouble: Trouble, check: Callable[[Fleet], Awaitable[None]]) -> None:
+class HubFailuresTest(EgretrailTestCase):
+    def _run(self, failure: Failure, check: Callable[[Fleet], Awaitable[None]]) -> None:
         async def run() -> None:
             fleet = Fleet([9, 9])
             for address in fleet.addresses:
                 fleet.start(address, fleet.addresses[-3:])
             await asyncio.sleep(4.0)
-            await trouble(fleet)
+            await failure(fleet)
             await asyncio.sleep(_SETTLED_S)
             await check(fleet)
             fleet.stop()
 
         self.run_paused(run())
 
-    @cases(_TROUBLES)
-    def test_all_know_who_lives(self, trouble: Trouble) -> None:
+    @cases(_FAILURES)
+    def test_membership_converges(self, failure: Failure) -> None:
         async def check(fleet: Fleet) -> None:
             for address in fleet.links:
-                self.assertEqual(set(fleet.links), fleet.known(address), address)
+                self.assertEqual(set(fleet.links), fleet.known_instances(address), address)
 
-        self._play(trouble, check)
+        self._run(failure, check)
 
-    @cases(_TROUBLES)
-    def test_a_failure_becomes_known_to_all(self, trouble: Trouble) -> None:
+    @cases(_FAILURES)
+    def test_a_failure_becomes_known_to_all(self, failure: Failure) -> None:
         async def check(fleet: Fleet) -> None:
             observer = random.Random(1).choice(sorted(fleet.views))
             fleet.views[observer].observe(Observation("u", Outcome.FAILED, 0.003))
@@ -149,26 +149,26 @@
                 standing = view.suspicion.standing("u", now_s)
                 self.assertIs(Standing.SUSPECT, standing, address)
 
-        self._play(trouble, check)
+        self._run(failure, check)
 
-    @cases(_TROUBLES)
-    def test_loads_are_right_after_silence(self, trouble: Trouble) -> None:
+    @cases(_FAILURES)
+    def test_loads_are_exact_after_a_quiet_period(self, failure: Failure) -> None:
         async def check(fleet: Fleet) -> None:
             rng = random.Random(2)
             for view in fleet.views.values():
                 for _ in range(rng.randrange(4)):
                     view.begin("v", trial=False)
             await asyncio.sleep(3.5)
-            under_way = sum(view.load.own_counts().get("v", 0) for view in fleet.views.values())
+            in_flight = sum(view.load.own_counts().get("v", 0) for view in fleet.views.values())
             now_s = asyncio.get_running_loop().time()
             for address, view in fleet.views.items():
-                self.assertEqual(under_way, view.load.in_flight("v", now_s), address)
+                self.assertEqual(in_flight, view.load.in_flight("v", now_s), address)
 
-        self._play(trouble, check)
+        self._run(failure, check)
 
-    @cases(_TROUBLES)
-    def test_repeats_of_the_fleet_stay_within_the_budget(self, trouble: Trouble) -> None:
-        """Every instance repeats whenever it may, before, in and after the trouble."""
+    @cases(_FAILURES)
+    def test_retries_of_the_fleet_stay_within_the_budget(self, failure: Failure) -> None:
+        """Every instance retries whenever it may, before, during and after the failure."""
 
         async def run() -> None:
             fleet = Fleet([9, 9])
@@ -180,7 +180,7 @@
             routed_s: list[float] = []
             rng = random.Random(4)
 
-            async def repeat_forever() -> None:
+            async def retry_forever() -> None:
                 while True:
                     await asyncio.sleep(0.01)
                     view = rng.choice(list(fleet.views.values()))
@@ -190,9 +190,9 @@
                         view.repeats.repeated("s", loop.time())
                         sent_s.append(loop.time())
 
-            work = loop.create_task(repeat_forever())
+            work = loop.create_task(retry_forever())
             await asyncio.sleep(10.0)
-            await trouble(fleet)
+            await failure(fleet)
             await asyncio.sleep(10.0)
             work.cancel()
             fleet.stop()
--- a/src/egretrail/gateway/tests/test_large_config.py
+++ b/src/egretrail/gateway/tests/test_large_config.py
@@ -1,9 +1,9 @@
-"""A configuration of thousands of routes reaches all instances in time, and so do its changes.
+"""A configuration of thousands of routes and its changes reach all instances in time.
 
-Proper requests were answered 404 by instances of one zone, for a route that the operators had added
-seconds before. Instances fetch the whole configuration from the hub of their zone, all at the same
-moment, and give up after 0.7 s whatever its size; the next try begins at the first byte, so that
-the hub's link is full of bytes that nobody keeps.
+Instances answered 404 to valid requests for a route that had been added seconds before. All
+instances of a zone fetched the whole configuration from its hub at the same moment and timed out
+after 0.7 s whatever its size. Each retry started at the first byte, so that the hub's link was full
+of bytes that were thrown away.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 from egretrail.testing import EgretrailTestCase, cases
 from scaffolding.platform.fleet import config, route
 
-#: A configuration is in force everywhere within this time after the operators' change was taken.
+#: The maximum time until a configuration is in force everywhere, after the readers applied it.
 _IN_FORCE_S = 2.5
-#: Weak instances have links of 10 Mbit/s, the two strong ones of a zone of 200 Mbit/s.
+#: Weak instances have links of 10 Mbit/s, the two strong ones of each zone links of 200 Mbit/s.
 _WEAK_BYTES_PER_S, _STRONG_BYTES_PER_S = 1.25e6, 25e6
 _FIRST_ROUTES = 18
-#: What a change of one route may move for each instance: some routes, and what finding them takes.
+#: The maximum bytes of a change of one route for each instance: some routes, and finding them.
 _CHANGE_BYTES = 16_384
 
 
@@ -39,7 +39,7 @@
 
 
 class _Operators:
-    """Changes the configuration, and tells it to the instances that read the store."""
+    """Changes the configuration at the instances that read the store."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -52,15 +52,15 @@
         self.versions.append((asyncio.get_running_loop().time(), version))
         for zone in (0, 1):
             hub = self._fleet.hub(zone)
-            await _take(self._fleet, hub, value)
+            await _apply_config(self._fleet, hub, value)
 
-    def owed(self, now_s: float) -> int:
+    def required(self, now_s: float) -> int:
         """Return the version that must be in force everywhere by now."""
         due = [version for at_s, version in self.versions if at_s <= now_s - _IN_FORCE_S]
         return max(due, default=0)
 
 
-async def _take(fleet: Fleet, address: str, value: bytes) -> None:
+async def _apply_config(fleet: Fleet, address: str, value: bytes) -> None:
     decoded = PlatformLayout().decode_config(value)
     assert isinstance(decoded, Ok)
     fleet.views[address].take_config(at_once(part_config(decoded.ok_value)), "store")
@@ -82,10 +82,12 @@
             loop = asyncio.get_running_loop()
             while True:
                 await asyncio.sleep(0.1)
-                owed = operators.owed(loop.time())
+                required = operators.required(loop.time())
                 for address, view in fleet.views.items():
-                    if view.config_version < owed:
-                        late.append(f"{loop.time():.1f} {address} {view.config_version} < {owed}")
+                    if view.config_version < required:
+                        late.append(
+                            f"{loop.time():.1f} {address} {view.config_version} < {required}"
+                        )
 
         async def run() -> None:
             async with _running_fleet() as fleet:
@@ -106,7 +108,7 @@
         self.assertEqual([], late[:5])
 
     def test_a_change_of_one_route_moves_little(self) -> None:
-        """Its bytes grow with the change, not with the configuration of 0.7 MB."""
+        """The bytes grow with the change, not with the configuration of 0.7 MB."""
 
         async def run() -> None:
             async with _running_fleet() as fleet:
--- a/src/egretrail/gateway/tests/test_peer_turns.py
+++ b/src/egretrail/gateway/tests/test_peer_turns.py
@@ -1,51 +1,51 @@
-"""Which peers are asked at a time."""
+"""Concurrent fetches of state, and the back-off of peers that fail."""
 
 import asyncio
 
-from egretrail.gateway._peer_turns import PeerTurns
+from egretrail.gateway._peer_turns import ConcurrentFetches
 from egretrail.testing import EgretrailTestCase
 
 
-async def _stand_still() -> None:
+async def _stall() -> None:
     await asyncio.sleep(3600.0)
 
 
-class PeerTurnsTest(EgretrailTestCase):
-    def test_two_others_are_asked_beside_one_that_stands_still(self) -> None:
+class ConcurrentFetchesTest(EgretrailTestCase):
+    def test_two_more_fetches_start_beside_a_stalled_one(self) -> None:
         async def run() -> list[bool]:
-            turns = PeerTurns()
-            turns.begin("a", _stand_still(), 0.0)
-            at_once = [turns.admits(peer, 0.2) for peer in ("a", "b")]
-            late = [turns.admits(peer, 0.4) for peer in ("a", "b")]
-            turns.begin("b", _stand_still(), 0.4)
-            turns.begin("c", _stand_still(), 0.4)
-            full = turns.admits("d", 1.0)
-            turns.stop()
+            fetches = ConcurrentFetches()
+            fetches.start("a", _stall(), 0.0)
+            at_once = [fetches.may_start(peer, 0.2) for peer in ("a", "b")]
+            late = [fetches.may_start(peer, 0.4) for peer in ("a", "b")]
+            fetches.start("b", _stall(), 0.4)
+            fetches.start("c", _stall(), 0.4)
+            full = fetches.may_start("d", 1.0)
+            fetches.cancel()
             return [*at_once, *late, full]
 
         self.assertEqual([False, False, False, True, False], self.run_paused(run()))
 
-    def test_nobody_is_asked_beside_one_that_goes_on(self) -> None:
+    def test_no_fetch_starts_beside_one_that_makes_progress(self) -> None:
         async def run() -> list[bool]:
-            turns = PeerTurns()
-            turns.begin("a", _stand_still(), 0.0)
-            turns.moved(0.35)
-            admitted = [turns.admits("b", 0.4), turns.admits("b", 0.7)]
-            turns.stop()
+            fetches = ConcurrentFetches()
+            fetches.start("a", _stall(), 0.0)
+            fetches.record_progress(0.35)
+            admitted = [fetches.may_start("b", 0.4), fetches.may_start("b", 0.7)]
+            fetches.cancel()
             return admitted
 
         self.assertEqual([False, True], self.run_paused(run()))
 
-    def test_a_peer_that_fails_again_and_again_is_left_out_for_longer(self) -> None:
-        turns = PeerTurns()
-        ends_s = []
+    def test_backoff_grows_with_repeated_failures(self) -> None:
+        fetches = ConcurrentFetches()
+        durations_s = []
         now_s = 0.0
         for _ in range(4):
-            turns.pauses.failed("a", now_s)
+            fetches.backoffs.record_failure("a", now_s)
             begun_s = now_s
-            while turns.pauses.holds("a", now_s):
+            while fetches.backoffs.is_backed_off("a", now_s):
                 now_s += 0.25
-            ends_s.append(now_s - begun_s)
-        self.assertEqual([0.5, 1.0, 2.0, 2.0], ends_s)
-        turns.pauses.failed("a", now_s + 10.0)
-        self.assertFalse(turns.pauses.holds("a", now_s + 10.6))
+            durations_s.append(now_s - begun_s)
+        self.assertEqual([0.5, 1.0, 2.0, 2.0], durations_s)
+        fetches.backoffs.record_failure("a", now_s + 10.0)
+        self.assertFalse(fetches.backoffs.is_backed_off("a", now_s + 10.6))
