--- a/src/egretrail/gateway/_config_fetch.py
+++ b/src/egretrail/gateway/_config_fetch.py
@@ -106,8 +106,7 @@
             self._fetches.start(offer.address, self._fetch(offer, is_hub=is_hub), now_s)
 
     async def _ask_after_delay(self, offer: StateOffer) -> None:
-        """Fetch from another zone's instance if no instance of the own zone has supplied the
-        version.
+        """Fetch from another zone's instance if the own zone has not supplied the version.
 
         A zone learns of a version from other zones before its own hub has it. If its instances
         fetched it there at once, one reader of the store would send the configuration to all zones.
--- a/src/egretrail/gateway/_state_exchange.py
+++ b/src/egretrail/gateway/_state_exchange.py
@@ -53,8 +53,7 @@
         self._config.stop()
 
     def _reachable_offer(self, offer: StateOffer) -> StateOffer:
-        """Return the offer, redirected to another instance of the own zone if its sender is backed
-        off.
+        """Return the offer, redirected within the own zone if its sender is backed off.
 
         The network path to the hub may be cut, so that its sections arrive through relays. The
         other instances of the zone have its configuration.
--- a/src/egretrail/gateway/_zones.py
+++ b/src/egretrail/gateway/_zones.py
@@ -182,9 +182,7 @@
         ]
 
     def own_echo(self) -> SectionEcho | None:
-        """Return the id of the last section received from the own zone's hub; None for a silent
-        zone.
-        """
+        """Return the id of the last section of the own zone's hub; None for a silent zone."""
         zone = self._zones.get(self._own_zone)
         return None if zone is None else self._echo(zone.hub, Scope.ZONE)
 
@@ -273,9 +271,7 @@
         return zone
 
     def _reset_own_zone(self) -> None:
-        """Discard the state of the previous hub, whose aggregates and acknowledgement indexes
-        differ.
-        """
+        """Discard the state of the previous hub: aggregates and acknowledgement indexes differ."""
         self._zone_peers.start_anew()
         self._load.forget(self._own_zone)
         self._ack_index = None
--- a/src/egretrail/gateway/tests/test_config_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_config_in_trouble.py
@@ -336,14 +336,14 @@
     "the_hub_and_the_next_one_are_killed": _kill_hub_and_next,
     "the_hub_is_killed_and_then_the_next_one": _kill_hub_then_next,
     "the_hubs_of_all_zones_are_killed": _kill_all_hubs,
-    "the_hub_freezes_and_wakes": _pause_hub,
-    "the_hub_freezes_again_and_again": _pause_hub_repeatedly,
+    "the_hub_is_paused_and_resumed": _pause_hub,
+    "the_hub_is_paused_repeatedly": _pause_hub_repeatedly,
     "some_are_cut_off_from_the_hub": _cut_from_hub,
-    "the_hub_does_not_hear_some": _cut_inbound_to_hub,
-    "some_do_not_hear_the_hub": _cut_outbound_from_hub,
-    "some_have_not_heard_the_hub_for_long": _cut_outbound_before_change,
-    "the_hubs_streams_stand_still": _stall_hub_streams,
-    "the_streams_of_two_hubs_stand_still": _stall_streams_of_two_hubs,
+    "the_hub_receives_nothing_from_some": _cut_inbound_to_hub,
+    "some_receive_nothing_from_the_hub": _cut_outbound_from_hub,
+    "some_have_received_nothing_from_the_hub_for_long": _cut_outbound_before_change,
+    "the_hubs_streams_stall": _stall_hub_streams,
+    "the_streams_of_two_hubs_stall": _stall_streams_of_two_hubs,
     "some_have_slow_and_busy_links": _slow_members,
     "some_have_full_links_for_a_second": _overload_members,
     "a_tenth_of_the_datagrams_is_lost": _lose_datagrams,
@@ -438,9 +438,7 @@
         self.run_paused(run())
 
     def test_a_weak_hub_stays_the_hub_while_it_serves_its_zone(self) -> None:
-        """If a busy hub's sections are lost, loads and failures stay unknown and another takes
-        over.
-        """
+        """Otherwise loads and failures stay unknown, and another hub takes over."""
 
         async def run() -> None:
             async with _running([3, 3, 36], 0) as scenario:
--- a/src/egretrail/gateway/tests/test_config_state.py
+++ b/src/egretrail/gateway/tests/test_config_state.py
@@ -82,9 +82,12 @@
             "another zone reaches the store": (_another_zone_reads, True),
             "no zone reaches the store": (_store_outage, True),
             "a zone that is cut off from the others and the store": (_isolated_zone, False),
-            "a newer version is known of": (_newer_version_reported, False),
-            "a version that was named once and has not come": (_odd_version_reported_once, True),
-            "only starting peers are heard": (_starting_peers, False),
+            "a newer version is known": (_newer_version_reported, False),
+            "a version that was reported once and has not arrived": (
+                _odd_version_reported_once,
+                True,
+            ),
+            "only starting peers report": (_starting_peers, False),
         }
     )
     def test_is_config_current(self, case: tuple[Act, bool]) -> None:
--- a/src/egretrail/gateway/tests/test_hubs_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_hubs_in_trouble.py
@@ -107,9 +107,9 @@
     "a hub is restarted": _restart_hub,
     "all are restarted": _restart_all,
     "a hub is stopped": _stop_hub,
-    "a hub freezes and wakes": _pause_hub,
-    "a hub does not hear some": _cut_inbound_to_hub,
-    "some do not hear the hub": _cut_outbound_from_hub,
+    "a hub is paused and resumed": _pause_hub,
+    "a hub receives nothing from some": _cut_inbound_to_hub,
+    "some receive nothing from the hub": _cut_outbound_from_hub,
     "some are cut off from the hub": _cut_from_hub,
     "a tenth of the datagrams is lost": _lose_datagrams,
     "zones are cut off for some time": _partition_zones,
@@ -198,9 +198,9 @@
             fleet.stop()
             ends_s = [tenth / 10 for tenth in range(int(loop.time() * 10))]
             for end_s in ends_s:
-                repeats = sum(end_s - 10.0 < at_s <= end_s for at_s in sent_s)
+                retries = sum(end_s - 10.0 < at_s <= end_s for at_s in sent_s)
                 requests = sum(end_s - 10.0 < at_s <= end_s for at_s in routed_s)
-                self.assertLessEqual(repeats, 0.2 * requests + 60.0, f"until {end_s}")
+                self.assertLessEqual(retries, 0.2 * requests + 60.0, f"until {end_s}")
             self.assertGreater(len(sent_s), 100)
 
         self.run_paused(run())
--- a/src/egretrail/gateway/tests/test_named_limits.py
+++ b/src/egretrail/gateway/tests/test_named_limits.py
@@ -147,7 +147,7 @@
     "nothing_fails": _no_failure,
     "the_hubs_of_two_zones_are_killed": _kill_hubs,
     "a_zone_is_cut_off": _partition_zone,
-    "some_do_not_hear_their_hub": _cut_outbound_from_hub,
+    "some_receive_nothing_from_their_hub": _cut_outbound_from_hub,
     "some_are_started_again": _restart_some,
     "a_tenth_of_the_packets_is_lost": _lose_packets,
 }
--- a/src/egretrail/gateway/tests/test_store_sync.py
+++ b/src/egretrail/gateway/tests/test_store_sync.py
@@ -257,19 +257,19 @@
         }
     )
     def test_entries_that_expired_in_a_store_outage_are_kept_for_a_grace_period(
-        self, lapsed: list[str]
+        self, expired: list[str]
     ) -> None:
         async def act(setup: _ReaderSetup) -> None:
             setup.store.set_out(True)
             await asyncio.sleep(4.0)
-            for name in lapsed:
+            for name in expired:
                 setup.unlist(name)
             setup.store.set_out(False)
             await asyncio.sleep(1.5)
             self.assertEqual({"u1", "u2", "u3", "u4"}, setup.ready())
-            setup.list(lapsed[0])
+            setup.list(expired[0])
             await asyncio.sleep(4.0)
-            gone = set(lapsed[1:])
+            gone = set(expired[1:])
             self.assertEqual({"u1", "u2", "u3", "u4"} - gone, setup.ready())
 
         self._run(act)
--- a/src/egretrail/gateway/tests/test_upstream_exchange.py
+++ b/src/egretrail/gateway/tests/test_upstream_exchange.py
@@ -433,7 +433,7 @@
                 (Exchange.fetch, 0),
                 (Exchange.apply_store_answer, 1),
             ],
-            "the_store_answers_with_a_removal_after_a_peer_told_a_new_start": [
+            "the_store_answers_with_a_removal_after_a_peer_reported_a_new_start": [
                 (Exchange.start, 24),
                 (Exchange.read_store, 37),
                 (Exchange.remove, 15),
@@ -487,7 +487,7 @@
                 (Exchange.read_store, 40),
                 (Exchange.deliver_reply_twice, 18),
             ],
-            "a_drop_is_told_with_the_next_revision": [
+            "a_drop_is_sent_with_the_next_revision": [
                 (Exchange.start, 9),
                 (Exchange.read_store, 29),
                 (Exchange.start, 10),
--- a/src/egretrail/gateway/tests/test_upstream_news.py
+++ b/src/egretrail/gateway/tests/test_upstream_news.py
@@ -107,8 +107,8 @@
             "strong_hubs": (True, _no_failure, 0.2),
             "weak_hubs": (False, _no_failure, 0.2),
             "a_hub_whose_link_is_nearly_full": (True, _full_link, 2.5),
-            "a_hub_whose_streams_stand_still": (True, _stalled_streams([2]), 1.0),
-            "two_hubs_whose_streams_stand_still": (True, _stalled_streams([0, 2]), 1.5),
+            "a_hub_whose_streams_stall": (True, _stalled_streams([2]), 1.0),
+            "two_hubs_whose_streams_stall": (True, _stalled_streams([0, 2]), 1.5),
         }
     )
     def test_draining_upstreams_are_known_to_all_in_time(
