--- a/src/egretrail/platform/__init__.py
+++ b/src/egretrail/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Translates between the users' platform and the gateway; decides and keeps nothing.
+"""Adapter between the users' platform and the gateway; it is stateless and makes no decisions.
 
-Every name that the platform uses on the wire is decoded here, once.
+Every name that the platform uses on the wire is decoded in this package only.
 """
 
 from egretrail.platform._contract import PlatformContract
--- a/src/egretrail/platform/_layout.py
+++ b/src/egretrail/platform/_layout.py
@@ -1,4 +1,4 @@
-"""The store's paths, and the values that operators and upstreams write there."""
+"""Paths of the platform's store, and decoding of the values stored under them."""
 
 import ipaddress
 import sys
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from egretrail.gateway import InvalidDocument, StoreLayout
-from egretrail.platform._fields import Fields, decode_json
+from egretrail.platform._table_reader import TableReader, decode_json
 from egretrail.store import Entry
 from egretrail.traffic import (
     ClientAccount,
@@ -22,20 +22,20 @@
     key_digest,
 )
 
-#: Routes or accounts that are read between two turns of the event loop, some milliseconds of work.
-_SLICE_ROUTES = 100
-#: Any other kind is handled as one that must not be repeated.
-_KINDS = {
+#: Routes or accounts decoded in one slice, between two yields; this takes a few milliseconds.
+_ITEMS_PER_SLICE = 100
+#: Requests of any other kind must not be retried.
+_ROUTE_KINDS = {
     "safe": RouteKind.IDEMPOTENT,
-    # Large answers, which may be asked for again like small ones.
+    # Large responses; the request may be retried like one with a small response.
     "download": RouteKind.IDEMPOTENT,
 }
-#: An upstream in any other state is none to use.
-_STATES = {"ready": UpstreamState.READY, "draining": UpstreamState.DRAINING}
+#: An entry with any other state is invalid, and its upstream is not used.
+_UPSTREAM_STATES = {"ready": UpstreamState.READY, "draining": UpstreamState.DRAINING}
 
 
 class PlatformLayout(StoreLayout):
-    """The layout that the platform prescribes."""
+    """The store layout that the platform prescribes."""
 
     config_path = "op/config"
     upstreams_prefix = "servers/"
@@ -44,46 +44,46 @@
     def read_config(
         self, value: bytes
     ) -> Generator[None, None, Result[FleetConfig, InvalidDocument]]:
-        """Read the configuration in slices; a value with any fault is refused as a whole."""
+        """Decode the configuration in slices; any fault rejects the whole value."""
         faults: list[str] = []
         try:
             document = decode_json(value)
         except ValueError as error:
             return Err(InvalidDocument(self.config_path, [str(error)]))
-        config = yield from _config(Fields(document, "config", faults), faults)
+        config = yield from _decode_config(TableReader(document, "config", faults), faults)
         if faults:
             return Err(InvalidDocument(self.config_path, faults))
         return Ok(config)
 
     def decode_upstream(self, entry: Entry) -> Result[UpstreamRecord, InvalidDocument]:
-        """Read an upstream's entry, whose path ends with the upstream's id."""
+        """Decode an upstream's entry, whose path ends with the upstream's name."""
         faults: list[str] = []
         try:
             document = decode_json(entry.value or "")
         except ValueError as error:
             return Err(InvalidDocument(entry.path, [str(error)]))
-        record = _upstream(Fields(document, entry.path, faults), entry, faults)
+        record = _decode_upstream_record(TableReader(document, entry.path, faults), entry, faults)
         if faults:
             return Err(InvalidDocument(entry.path, faults))
         return Ok(record)
 
 
-def _upstream(fields: Fields, entry: Entry, faults: list[str]) -> UpstreamRecord:
-    # Read for their presence alone: an entry without them was written by something else.
+def _decode_upstream_record(fields: TableReader, entry: Entry, faults: list[str]) -> UpstreamRecord:
+    # Checked for presence only: an entry without these was not written by an upstream.
     fields.text("version")
     fields.whole("seq")
     stated = fields.text("state")
-    if stated not in _STATES:
+    if stated not in _UPSTREAM_STATES:
         faults.append(f"{entry.path}.state: unknown state {stated!r}")
     slots = fields.whole("slots")
     if slots < 1:
         faults.append(f"{entry.path}.slots: {slots}")
-    # The Unix millisecond of its start; entries of earlier writers do not have it.
+    # Start time in Unix milliseconds; entries written by earlier versions do not have it.
     started_ms = fields.whole("born", 0)
     if started_ms < 0:
         faults.append(f"{entry.path}.born: {started_ms}")
     address = fields.text("address")
-    if not _is_address(address):
+    if not _is_ip_port(address):
         faults.append(f"{entry.path}.address: {address!r}")
     return UpstreamRecord(
         name=entry.path.removeprefix(PlatformLayout.upstreams_prefix),
@@ -91,14 +91,14 @@
         address=address,
         availability_zone=fields.text("zone"),
         slots=slots,
-        state=_STATES.get(stated, UpstreamState.DRAINING),
+        state=_UPSTREAM_STATES.get(stated, UpstreamState.DRAINING),
         warmup_s=fields.time_s("warmupLeft"),
         revision=entry.revision,
         started_ms=started_ms,
     )
 
 
-def _is_address(text: str) -> bool:
+def _is_ip_port(text: str) -> bool:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
@@ -107,21 +107,21 @@
     return port.isascii() and port.isdigit() and 0 < int(port) < 65_536
 
 
-def _config(fields: Fields, faults: list[str]) -> Generator[None, None, FleetConfig]:
+def _decode_config(fields: TableReader, faults: list[str]) -> Generator[None, None, FleetConfig]:
     services = {}
     for row in fields.rows("services"):
-        service = _service(Fields(row, "service", faults))
+        service = _decode_service(TableReader(row, "service", faults))
         services[service.name] = service
     routes = []
     for row in fields.rows("routes"):
-        route = _route(Fields(row, "route", faults), faults)
+        route = _decode_route(TableReader(row, "route", faults), faults)
         faults += [
             f"route {route.name}: unknown service {part.service!r}"
             for part in route.parts
             if part.service not in services
         ]
         routes.append(route)
-        if len(routes) % _SLICE_ROUTES == 0:
+        if len(routes) % _ITEMS_PER_SLICE == 0:
             yield
     try:
         # Versions are written as eight hexadecimal digits.
@@ -131,37 +131,41 @@
         version = 0
     accounts = None
     if fields.has("tenants"):
-        accounts = yield from _accounts(fields, faults)
-    return FleetConfig(version, routes, services, _limits(fields.table("limits")), accounts)
+        accounts = yield from _decode_accounts(fields, faults)
+    return FleetConfig(
+        version, routes, services, _decode_client_limits(fields.table("limits")), accounts
+    )
 
 
-def _accounts(fields: Fields, faults: list[str]) -> Generator[None, None, list[ClientAccount]]:
+def _decode_accounts(
+    fields: TableReader, faults: list[str]
+) -> Generator[None, None, list[ClientAccount]]:
     accounts: list[ClientAccount] = []
     holders: dict[bytes, str] = {}
     for row in fields.rows("tenants"):
-        account = _account(Fields(row, "account", faults), faults)
-        # A key in two accounts would make the order of the list decide whose it is.
+        account = _decode_account(TableReader(row, "account", faults), faults)
+        # With a key in two accounts, the order of the list would decide which account it names.
         faults += [
             f"account {account.name}: a key of {holders[digest]} too"
             for digest in account.key_digests
             if holders.setdefault(digest, account.name) != account.name
         ]
         accounts.append(account)
-        if len(accounts) % _SLICE_ROUTES == 0:
+        if len(accounts) % _ITEMS_PER_SLICE == 0:
             yield
     if len({account.name for account in accounts}) < len(accounts):
         faults.append("config.tenants: two accounts of one name")
     return accounts
 
 
-def _account(fields: Fields, faults: list[str]) -> ClientAccount:
+def _decode_account(fields: TableReader, faults: list[str]) -> ClientAccount:
     name = fields.text("name")
-    if not _is_field_value(name):
+    if not _is_header_value(name):
         faults.append(f"account {name!r}: no name for a header field")
     keys = fields.rows("apiKeys")
-    usable = [key for key in keys if isinstance(key, str) and _is_field_value(key)]
+    usable = [key for key in keys if isinstance(key, str) and _is_header_value(key)]
     if len(usable) < len(keys):
-        # The key itself must not reach a log.
+        # The key itself must not appear in a log.
         faults.append(f"account {name}: a key that no header field can hold")
     rate_per_s = fields.number("ratePerS", 0.0)
     burst = fields.number("burst", 0.0)
@@ -176,20 +180,20 @@
     )
 
 
-def _is_field_value(text: str) -> bool:
+def _is_header_value(text: str) -> bool:
     return bool(text) and text.isascii() and text.isprintable() and text == text.strip()
 
 
-def _service(fields: Fields) -> Service:
+def _decode_service(fields: TableReader) -> Service:
     return Service(
         name=fields.text("name"),
         health_path=fields.text("healthPath", "/health"),
-        # Counts the connections of all callers of one upstream together.
+        # The limit applies to the connections of all callers of one upstream together.
         max_connections=fields.whole("maxConns", 1_000),
     )
 
 
-def _route(fields: Fields, faults: list[str]) -> Route:
+def _decode_route(fields: TableReader, faults: list[str]) -> Route:
     name = fields.text("name", "")
     prefix = fields.text("prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
@@ -197,23 +201,25 @@
     timeout_s = fields.time_s("timeout")
     return Route(
         name=name,
-        # Thousands of routes share a few hosts and services.
+        # Thousands of routes share a few hosts and services, so interning saves memory.
         host=sys.intern(fields.text("host").lower()),
         prefix=prefix,
-        kind=_KINDS.get(fields.text("routeType"), RouteKind.AT_MOST_ONCE),
+        kind=_ROUTE_KINDS.get(fields.text("routeType"), RouteKind.AT_MOST_ONCE),
         timeout_s=timeout_s,
         objective_s=fields.time_s("targetLatency", f"{timeout_s}s"),
         priority=fields.whole("priority", 0),
         max_attempts=max(fields.whole("maxAttempts", 1), 1),
-        parts=_parts(fields, name, faults),
+        parts=_decode_traffic_split(fields, name, faults),
         is_public=fields.flag("public"),
     )
 
 
-def _parts(fields: Fields, route: str, faults: list[str]) -> Sequence[WeightedService]:
+def _decode_traffic_split(
+    fields: TableReader, route: str, faults: list[str]
+) -> Sequence[WeightedService]:
     if not fields.has("trafficSplit"):
         return (WeightedService(sys.intern(fields.text("service")), 1.0),)
-    rows = [Fields(row, f"route {route}", faults) for row in fields.rows("trafficSplit")]
+    rows = [TableReader(row, f"route {route}", faults) for row in fields.rows("trafficSplit")]
     parts = [WeightedService(row.text("service"), row.number("weight")) for row in rows]
     used = tuple(part for part in parts if part.weight > 0)
     if not used:
@@ -221,7 +227,7 @@
     return used
 
 
-def _limits(fields: Fields) -> ClientLimits:
+def _decode_client_limits(fields: TableReader) -> ClientLimits:
     default = ClientLimits()
     return ClientLimits(
         header_bytes=fields.whole("maxHeaderBytes", default.header_bytes),
--- a/src/egretrail/platform/_node_file.py
+++ b/src/egretrail/platform/_node_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 import ipaddress
 import math
@@ -10,7 +10,7 @@
 
 from egretrail.dispatch import QuotaTerms
 from egretrail.gateway import GatewaySettings, InvalidDocument, SettingsFile
-from egretrail.platform._fields import Fields
+from egretrail.platform._table_reader import TableReader
 
 #: The environment variable that holds the file's path.
 SETTINGS_VARIABLE = "EGRETRAIL_NODE_FILE"
@@ -24,38 +24,38 @@
         self._path = path
 
     def read(self) -> Result[GatewaySettings, InvalidDocument]:
-        """Read the file."""
+        """Read and decode the file."""
         return read_node_file(self._path)
 
     def stamp(self) -> Hashable:
-        """Return which file it is, its size and when it was last changed."""
+        """Return the inode, size and change times, or the error number of a failed stat."""
         try:
-            held = self._path.stat()
+            status = self._path.stat()
         except OSError as error:
             return error.errno
-        return held.st_ino, held.st_size, held.st_mtime_ns, held.st_ctime_ns
+        return status.st_ino, status.st_size, status.st_mtime_ns, status.st_ctime_ns
 
 
 def read_node_file(path: Path) -> Result[GatewaySettings, InvalidDocument]:
-    """Read the settings file; unknown fields are ignored, all faults are told at once."""
+    """Read the settings file; ignores unknown fields and reports all faults at once."""
     try:
         document = tomllib.loads(path.read_text())
     except (OSError, ValueError, RecursionError) as error:
         return Err(InvalidDocument(str(path), [repr(error)]))
     faults: list[str] = []
-    settings = _settings(Fields(document, "settings", faults))
+    settings = _decode_settings(TableReader(document, "settings", faults))
     if faults:
         return Err(InvalidDocument(str(path), faults))
     return Ok(settings)
 
 
-def _settings(file: Fields) -> GatewaySettings:
+def _decode_settings(file: TableReader) -> GatewaySettings:
     node = file.table("self")
     network = file.table("network")
     listen = network.table("listen")
     bounds = file.table("terms").table("bounds")
     limits = node.table("limits")
-    peer_port = _first_port(network)
+    peer_port = _first_internal_port(network)
     settings = GatewaySettings(
         name=node.text("nodeName"),
         ip=node.text("ip"),
@@ -65,11 +65,11 @@
         directory_address=listen.text("directory"),
         peer_port=peer_port,
         metrics_port=peer_port + 1,
-        # Addresses of a face that this program does not serve; only the IP numbers are used.
+        # The ports belong to an interface that this program does not serve; only the IPs are used.
         seeds=[str(seed).rpartition(":")[0] for seed in network.rows("seeds")],
         store_address=file.table("platform").table("platform").text("address"),
         memory_mb=limits.whole("memoryMb", 300),
-        # ``cores`` is the speed of the one core whose share the process gets.
+        # ``cores`` is the speed of the single core, of which the process gets a share.
         capacity=limits.number("cpuShare", 1.0) * limits.number("cores", 1.0),
         stop_grace_s=bounds.time_s("grace", "6s"),
         directory_ttl_max_s=bounds.time_s("ttl_max", "5s"),
@@ -85,24 +85,24 @@
     )
     network.check("seeds", all(_is_ip(seed) for seed in settings.seeds), "not all are IP:PORT")
     store = file.table("platform").table("platform")
-    store.check("address", _is_address(settings.store_address), "not IP:PORT")
+    store.check("address", _is_ip_port(settings.store_address), "not IP:PORT")
     limits.check("memoryMb", settings.memory_mb > 0, "not above 0")
-    is_capacity = 0 < settings.capacity < math.inf
-    limits.check("cpuShare", is_capacity, "times cores is not above 0 and finite")
+    is_valid_capacity = 0 < settings.capacity < math.inf
+    limits.check("cpuShare", is_valid_capacity, "times cores is not above 0 and finite")
     bounds.check("budgetWindow", settings.repeat_window_s > 0, "not above 0")
     bounds.check("retryBudgetRatio", settings.repeat_ratio >= 0, "below 0")
-    is_revocable = settings.revocation_s is None or settings.revocation_s > 0
+    is_valid_revocation = settings.revocation_s is None or settings.revocation_s > 0
     quota = settings.quota_terms
     bounds.check("quotaWindow", quota.window_s > 0, "not above 0")
     bounds.check("quotaOver", quota.over >= 0, "below 0")
     bounds.check("quotaSlack", quota.slack >= 0, "below 0")
-    bounds.check("revoke", is_revocable, "not above 0")
+    bounds.check("revoke", is_valid_revocation, "not above 0")
     bounds.check("budgetSlack", settings.repeat_slack >= 0, "below 0")
     return settings
 
 
-def _first_port(network: Fields) -> int:
-    """Return the first of the free ports, of which the first and the last are named."""
+def _first_internal_port(network: TableReader) -> int:
+    """Return the first port of the internal range, which the file gives as first and last port."""
     ports = network.rows("internalPorts")
     first = ports[0] if ports else None
     if type(first) is int and 0 < first < _PORT_MAX:
@@ -111,7 +111,7 @@
     return 0
 
 
-def _is_address(text: str) -> bool:
+def _is_ip_port(text: str) -> bool:
     host, _, port = text.rpartition(":")
     return _is_ip(host) and port.isdecimal() and 0 < int(port) <= _PORT_MAX
 
--- a/src/egretrail/platform/_store.py
+++ b/src/egretrail/platform/_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's key-value store."""
+"""Client of the platform's key-value store."""
 
 import asyncio
 import base64
@@ -35,57 +35,59 @@
 
 T = TypeVar("T")
 
-#: Rises each time that the store has come back from an older copy; in all its answers.
-_ERA = b"store-era"
+#: The store's era, present in all its responses; rises with each restore from a backup.
+_ERA_HEADER = b"store-era"
 
-#: How long a call waits for its answer to begin, and for each next piece of it: the store answers
-#: in 4 ms and in some 250 ms when it is slow, and a large value takes a slow link seconds.
+#: How long a call waits for the first bytes of its response, and then for each further piece.
+#: The store responds in 4 ms, or in about 250 ms when slow; a large value takes seconds on a slow
+#: link.
 _CALL_TIMEOUT_S = 1.0
-#: After a call that waited in vain the next ones wait twice as long, up to the maximum: a store
-#: that is slower than any fixed time would never be read. Each quick answer halves it again.
+#: Each time-out doubles the time-out of the next calls, up to this maximum: with a fixed time-out a
+#: slower store could never be read. Each quick response halves the time-out again.
 _CALL_TIMEOUT_MAX_S = 3.0
 _CONNECT_TIMEOUT_S = 0.5
-#: Idle connections kept for the next call.
-_IDLE_MAX = 2
-#: Statuses with which the store says that it did nothing.
-_UNAVAILABLE = frozenset({429, 503})
+#: Idle connections kept open for later calls.
+_IDLE_CONNECTIONS_MAX = 2
+#: Statuses by which the store says that it did not apply the call.
+_UNAVAILABLE_STATUSES = frozenset({429, 503})
 
 
 @dataclass(frozen=True, slots=True)
 class _Reply:
-    """An answer of the store."""
+    """A response of the store."""
 
     #: The HTTP status.
     status: int
-    #: The body.
+    #: The decoded JSON body.
     document: Any
-    #: The era of the store; 0 for a store that does not name one.
+    #: The era of the store; 0 if the response does not name one.
     era: int
 
 
 class PlatformStore(Store):
-    """Calls the store over a few kept connections; a connection that fails is not used again.
+    """Calls the store over a small connection pool; a failed connection is not reused.
 
-    Revisions that it returns have the era of the store, so that they never go back.
+    Returned revisions include the store's era, so that they never decrease, even after the store
+    is restored from a backup.
     """
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._idle: list[ClientConnection] = []
-        self._idle_max = _IDLE_MAX
-        #: The newest era that an answer named.
+        self._idle_connections: list[ClientConnection] = []
+        self._idle_connections_max = _IDLE_CONNECTIONS_MAX
+        #: The newest era seen in a response.
         self._era = 0
-        #: How long a call waits for its answer to begin now.
-        self._patience_s = _CALL_TIMEOUT_S
+        #: The current time-out for the first bytes of a response and for each further piece.
+        self._call_timeout_s = _CALL_TIMEOUT_S
 
     def close(self) -> None:
-        """Keep no connections any more; calls under way end as they would."""
-        self._idle_max = 0
-        while self._idle:
-            self._idle.pop().abort()
+        """Close idle connections and keep no others; calls in progress complete normally."""
+        self._idle_connections_max = 0
+        while self._idle_connections:
+            self._idle_connections.pop().abort()
 
     async def get(self, path: str) -> Result[Entry | None, PlatformFailure]:
-        """Read one path; None when it does not exist."""
+        """Read one path; None if it does not exist."""
         call = f"get {path}"
         reply = await self._call("GET", f"/api/kv-key?key={quote(path, safe='')}", call)
         if isinstance(reply, Err):
@@ -95,7 +97,7 @@
             return Ok(None)
         if answer.status != 200:
             return Err(_refused(call, answer.status))
-        return _decoded(call, lambda: _entry(answer.document, answer.era))
+        return _decode(call, lambda: _decode_entry(answer.document, answer.era))
 
     async def put(
         self, path: str, value: str, expected_revision: int, lease_id: str | None = None
@@ -104,7 +106,7 @@
         put: dict[str, object] = {
             "key": path,
             "value": base64.b64encode(value.encode()).decode(),
-            # 0 says that the path stays when no lease is held.
+            # 0 attaches no lease: the path stays until it is deleted.
             "lease": int(lease_id) if lease_id is not None else 0,
         }
         return await self._write(path, expected_revision, {"puts": [put], "deletes": []})
@@ -118,8 +120,8 @@
     ) -> Result[Snapshot, PlatformFailure]:
         """Read all paths under a prefix, page by page.
 
-        Pages are read one after the other, so the snapshot's revision is the first page's: what
-        changed between the pages is told again by a watch after it.
+        The store may change between pages. The snapshot therefore has the revision of the first
+        page, so that a watch after this revision returns those changes again.
         """
         call = f"snapshot {prefix}"
         entries: list[Entry] = []
@@ -136,13 +138,15 @@
             answer = reply.ok_value
             if answer.status != 200:
                 return Err(_refused(call, answer.status))
-            page = _decoded(call, functools.partial(_snapshot, answer.document, answer.era))
+            page = _decode(call, functools.partial(_decode_snapshot, answer.document, answer.era))
             if isinstance(page, Err):
                 return page
             if first is None:
                 first, revision = answer, page.ok_value.revision
             if answer.era != first.era:
-                return Err(StoreUnavailable(call, "it came back from a copy between two pages"))
+                return Err(
+                    StoreUnavailable(call, "the store was restored from a backup between two pages")
+                )
             entries.extend(page.ok_value.entries)
             if not answer.document.get("hasMore") or not page.ok_value.entries:
                 return Ok(Snapshot(entries, revision))
@@ -151,7 +155,7 @@
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
     ) -> Result[WatchEvents, PlatformFailure]:
-        """Wait for changes under a prefix after a revision, for at most ``wait_s``."""
+        """Wait up to ``wait_s`` for changes under a prefix after a revision."""
         call = f"watch {prefix}"
         target = (
             f"/api/kv-watch?prefix={quote(prefix, safe='')}&after={revision_number(after_revision)}"
@@ -161,15 +165,15 @@
         if isinstance(reply, Err):
             return reply
         answer = reply.ok_value
-        # The number stands for other changes in another era.
+        # In another era the same revision number stands for other changes.
         if answer.status == 410 or answer.era != revision_era(after_revision):
             return Err(HistoryLost(prefix, after_revision))
         if answer.status != 200:
             return Err(_refused(call, answer.status))
-        return _decoded(call, lambda: _events(answer.document, answer.era))
+        return _decode(call, lambda: _decode_events(answer.document, answer.era))
 
     async def grant_lease(self, ttl_s: float) -> Result[str, PlatformFailure]:
-        """Open a lease: paths written under it are deleted when it is not renewed in time."""
+        """Open a lease; paths written under it are deleted if it is not renewed in time."""
         body = {"ttl_time": f"{round(ttl_s * 1000)}ms"}
         reply = await self._call("POST", "/api/kv-lease", "lease", body)
         if isinstance(reply, Err):
@@ -177,7 +181,7 @@
         answer = reply.ok_value
         if answer.status != 200:
             return Err(_refused("lease", answer.status))
-        return _decoded("lease", lambda: str(int(answer.document["lease"])))
+        return _decode("lease", lambda: str(int(answer.document["lease"])))
 
     async def renew_lease(self, lease_id: str) -> Result[None, PlatformFailure]:
         """Renew a lease for its full time."""
@@ -192,7 +196,7 @@
     ) -> Result[int, PlatformFailure]:
         call = f"write {path}"
         if expected_revision and revision_era(expected_revision) != self._era:
-            # Its number may be that of another change by now.
+            # In the current era the same revision number may stand for another change.
             return Err(RevisionConflict(path, expected_revision, 0))
         number = revision_number(expected_revision)
         body = {"expect": [{"key": path, "revision": number}], **change}
@@ -202,13 +206,13 @@
         answer = reply.ok_value
         if answer.status == 412:
             document = {**answer.document, "currentRev": 0}
-            held = _decoded(call, lambda: _snapshot(document, answer.era))
-            actual = held.ok_value.entries if isinstance(held, Ok) else ()
+            conflict = _decode(call, lambda: _decode_snapshot(document, answer.era))
+            actual = conflict.ok_value.entries if isinstance(conflict, Ok) else ()
             revision = actual[0].revision if actual else 0
             return Err(RevisionConflict(path, expected_revision, revision))
         if answer.status != 200:
             return Err(_refused(call, answer.status))
-        return _decoded(call, lambda: store_revision(answer.era, int(answer.document["revision"])))
+        return _decode(call, lambda: store_revision(answer.era, int(answer.document["revision"])))
 
     async def _call(
         self,
@@ -220,9 +224,9 @@
         wait_s: float = 0.0,
         written_path: str | None = None,
     ) -> Result[_Reply, PlatformFailure]:
-        """Send one call that the store answers after up to ``wait_s``, or later where it is slow.
+        """Send one call, to which the store may respond after up to ``wait_s``, or later if slow.
 
-        A write whose reply is lost is unknown, and never sent again here.
+        The outcome of a write whose response is lost is unknown; this client does not retry it.
         """
         self.calls_total += 1
         payload = b"" if body is None else json.dumps(body).encode()
@@ -235,26 +239,26 @@
         except ConnectFailed as error:
             return Err(StoreUnavailable(call, str(error)))
         try:
-            asked_s = asyncio.get_running_loop().time()
-            answer = await _exchange(connection, data, wait_s, self._patience_s)
-            took_s = asyncio.get_running_loop().time() - asked_s
-            if took_s < self._patience_s / 4:
-                self._patience_s = max(self._patience_s / 2, _CALL_TIMEOUT_S)
+            sent_s = asyncio.get_running_loop().time()
+            answer = await _exchange(connection, data, wait_s, self._call_timeout_s)
+            duration_s = asyncio.get_running_loop().time() - sent_s
+            if duration_s < self._call_timeout_s / 4:
+                self._call_timeout_s = max(self._call_timeout_s / 2, _CALL_TIMEOUT_S)
         except (TimeoutError, ExchangeFailed) as error:
             if isinstance(error, TimeoutError):
-                self._patience_s = min(self._patience_s * 2, _CALL_TIMEOUT_MAX_S)
+                self._call_timeout_s = min(self._call_timeout_s * 2, _CALL_TIMEOUT_MAX_S)
             cause = f"{error!r}"
             if written_path is not None:
                 return Err(WriteUnknown(written_path, cause))
             return Err(StoreUnavailable(call, cause))
-        if connection.reusable and len(self._idle) < self._idle_max:
-            self._idle.append(connection)
+        if connection.reusable and len(self._idle_connections) < self._idle_connections_max:
+            self._idle_connections.append(connection)
         else:
             connection.abort()
-        if answer.status in _UNAVAILABLE:
+        if answer.status in _UNAVAILABLE_STATUSES:
             return Err(StoreUnavailable(call, f"status {answer.status}"))
         try:
-            era = int(answer.value(_ERA) or 0)
+            era = int(answer.value(_ERA_HEADER) or 0)
             self._era = max(self._era, era)
             document = json.loads(answer.body) if answer.body else {}
             return Ok(_Reply(answer.status, document, era))
@@ -262,24 +266,24 @@
             return Err(StoreUnavailable(call, f"unreadable reply: {error}"))
 
     async def _connection(self) -> ClientConnection:
-        while self._idle:
-            connection = self._idle.pop()
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
             if connection.reusable:
                 return connection
-        # A watch waits for seconds on a path that may have gone silent meanwhile.
+        # A watch waits for seconds, in which the network path may fail without any notice.
         return await open_connection(self._address, _CONNECT_TIMEOUT_S, probed=True)
 
 
 async def _exchange(
-    connection: ClientConnection, data: bytes, wait_s: float, patience_s: float
+    connection: ClientConnection, data: bytes, wait_s: float, call_timeout_s: float
 ) -> ReceivedAnswer:
-    """Send a request's bytes and return the answer, for as long as pieces of it arrive."""
+    """Send a request and return its response; each piece that arrives extends the time-out."""
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(wait_s + patience_s) as limit:
+    async with asyncio.timeout(wait_s + call_timeout_s) as limit:
 
         def extend() -> None:
             if not limit.expired():
-                end_s = loop.time() + patience_s
+                end_s = loop.time() + call_timeout_s
                 limit.reschedule(max(limit.when() or end_s, end_s))
 
         connection.on_progress = extend
@@ -293,23 +297,23 @@
     return StoreRefused(call, status)
 
 
-def _decoded(call: str, read: Callable[[], T]) -> Result[T, PlatformFailure]:
+def _decode(call: str, read: Callable[[], T]) -> Result[T, PlatformFailure]:
     try:
         return Ok(read())
     except (KeyError, TypeError, ValueError) as error:
         return Err(StoreUnavailable(call, f"unreadable reply: {error!r}"))
 
 
-def _entry(row: dict[str, Any], era: int) -> Entry:
+def _decode_entry(row: dict[str, Any], era: int) -> Entry:
     revision = store_revision(era, int(row["revision"]))
-    return Entry(str(row["key"]), None if row.get("removed") else _value(row), revision)
+    return Entry(str(row["key"]), None if row.get("removed") else _decode_value(row), revision)
 
 
-def _value(row: dict[str, Any]) -> str:
-    """Return an entry's text. One entry that cannot be read must not hide the others of its page.
+def _decode_value(row: dict[str, Any]) -> str:
+    """Return an entry's text; an undecodable entry must not hide the others of its page.
 
-    Bytes that are no text become lone surrogates, and a value in another encoding an empty text:
-    the reader of the entry refuses both and logs it.
+    Bytes that are not UTF-8 become lone surrogates, and a value that is not valid base64 becomes an
+    empty text. The decoder of the entry rejects both and logs the rejection.
     """
     try:
         return base64.b64decode(row["value"], validate=True).decode(errors="surrogateescape")
@@ -317,11 +321,11 @@
         return ""
 
 
-def _snapshot(document: dict[str, Any], era: int) -> Snapshot:
-    entries = [_entry(row, era) for row in document["items"]]
+def _decode_snapshot(document: dict[str, Any], era: int) -> Snapshot:
+    entries = [_decode_entry(row, era) for row in document["items"]]
     return Snapshot(entries, store_revision(era, int(document["currentRev"])))
 
 
-def _events(document: dict[str, Any], era: int) -> WatchEvents:
-    entries = [_entry(row, era) for row in document["events"]]
+def _decode_events(document: dict[str, Any], era: int) -> WatchEvents:
+    entries = [_decode_entry(row, era) for row in document["events"]]
     return WatchEvents(entries, store_revision(era, int(document["currentRev"])))
--- a/src/egretrail/platform/tests/requests.py
+++ b/src/egretrail/platform/tests/requests.py
@@ -9,7 +9,7 @@
 def client_request(
     host: str, method: bytes, target: bytes, attempt: str = "a1", *, api_key: bytes | None = None
 ) -> Request:
-    """Return a client attempt that waits two seconds."""
+    """Return the request of a client attempt with a deadline of two seconds."""
     headers = [
         (b"Host", host.encode()),
         (b"X-Egretrail-Attempt-Id", attempt.encode()),
@@ -21,10 +21,10 @@
 
 
 def told_account(headers: Mapping[str, str]) -> str | None:
-    """Return the client account that an upstream was told, by fields with names in lower case."""
+    """Return the client account in headers sent to an upstream; header names are in lower case."""
     return headers.get("x-egretrail-tenant")
 
 
 def has_api_key(headers: Mapping[str, str]) -> bool:
-    """Return whether an API key was passed on."""
+    """Return whether headers sent to an upstream contain an API key."""
     return "api-key" in headers
--- a/src/egretrail/platform/tests/test_platform.py
+++ b/src/egretrail/platform/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's names, each decoded once."""
+"""Tests of the platform adapter: HTTP contract, store layout, settings file, and wire names."""
 
 import json
 import re
@@ -21,7 +21,7 @@
 _CONTRACT = PlatformContract()
 _SEAL = (b"X-Egretrail-Response-Seal", b"1a")
 _ID = (b"X-Egretrail-Attempt-Id", b"a1")
-_MARK = (b"X-Egretrail-Not-Executed", b"1")
+_NOT_EXECUTED = (b"X-Egretrail-Not-Executed", b"1")
 
 
 def _answer(status: int, *headers: tuple[bytes, bytes], body: bytes = b"x") -> ReceivedAnswer:
@@ -35,8 +35,8 @@
             "refused by the application": (_answer(404, _SEAL), AnswerKind.SERVED),
             "without a seal": (_answer(200), AnswerKind.INVALID),
             "encoded": (_answer(200, _SEAL, (b"Content-Encoding", b"gzip")), AnswerKind.INVALID),
-            "full": (_answer(503, _MARK), AnswerKind.NOT_RUN),
-            "no id": (_answer(400, _MARK), AnswerKind.NOT_RUN),
+            "full": (_answer(503, _NOT_EXECUTED), AnswerKind.NOT_RUN),
+            "no id": (_answer(400, _NOT_EXECUTED), AnswerKind.NOT_RUN),
             "busy without the mark": (_answer(503, _SEAL), AnswerKind.FAILED),
             "too many without the mark": (_answer(429, _SEAL), AnswerKind.FAILED),
             "another instance": (_answer(421), AnswerKind.WRONG_UPSTREAM),
@@ -49,12 +49,14 @@
         self.assertIs(expected, _CONTRACT.kind(answer))
 
     @cases({"503": 503, "429": 429, "408": 408})
-    def test_no_upstreams_failure_becomes_a_promise_or_keeps_its_seal(self, status: int) -> None:
+    def test_a_not_executed_status_without_the_header_becomes_502_without_seal(
+        self, status: int
+    ) -> None:
         passed = _CONTRACT.answer(_answer(status, _SEAL))
         self.assertEqual(502, passed.status)
         self.assertNotIn(_SEAL, passed.headers)
 
-    def test_answers_pass_unchanged_but_for_the_connections_fields(self) -> None:
+    def test_responses_are_forwarded_without_hop_by_hop_headers(self) -> None:
         received = _answer(
             200, _SEAL, _ID, (b"X-Own", b"1"), (b"Connection", b"close, x-hop"), (b"X-Hop", b"2")
         )
@@ -71,19 +73,19 @@
             "none": (None, None),
         }
     )
-    def test_which_limit_it_names(self, case: tuple[bytes | None, float | None]) -> None:
+    def test_advertised_rate_limit(self, case: tuple[bytes | None, float | None]) -> None:
         stated, expected = case
         headers = [] if stated is None else [(b"Server-Limit", stated)]
         named = _CONTRACT.named_limit(_answer(200, _SEAL, *headers))
         self.assertEqual(Ok(expected), named)
 
     @cases({"text": b"few", "negative": b"-1", "infinite": b"inf", "none": b"nan", "empty": b""})
-    def test_a_limit_that_is_no_number_of_requests_is_refused(self, stated: bytes) -> None:
+    def test_an_invalid_rate_limit_is_rejected(self, stated: bytes) -> None:
         named = _CONTRACT.named_limit(_answer(200, _SEAL, (b"Server-Limit", stated)))
         self.assertIsInstance(named, Err)
 
     @cases({"own": (b"a1", True), "another's": (b"a2", False), "none": (None, True)})
-    def test_whose_answer(self, case: tuple[bytes | None, bool]) -> None:
+    def test_response_belongs_to_attempt(self, case: tuple[bytes | None, bool]) -> None:
         stated, expected = case
         headers = [] if stated is None else [(b"X-Egretrail-Attempt-Id", stated)]
         self.assertIs(expected, _CONTRACT.belongs(_answer(200, *headers), "a1"))
@@ -93,7 +95,7 @@
     def _request(self, *headers: tuple[bytes, bytes], target: bytes = b"/p") -> Request:
         return Request(b"GET", target, list(headers), b"", 0.0)
 
-    def test_upstreams_get_what_is_left_and_whom_it_is_for(self) -> None:
+    def test_upstreams_get_the_remaining_time_and_the_expected_instance(self) -> None:
         request = self._request(
             (b"Host", b"shop"),
             _ID,
@@ -113,7 +115,7 @@
             _CONTRACT.upstream_headers(request, "i-1", 2.5),
         )
 
-    def test_upstreams_learn_the_account_from_the_gateway_and_never_the_key(self) -> None:
+    def test_upstreams_get_the_account_from_the_gateway_and_never_the_key(self) -> None:
         request = self._request(
             (b"Host", b"shop"),
             (b"Api-Key", b"secret"),
@@ -135,21 +137,19 @@
             "overlong": ([(b"Api-Key", b"k" * 513)], None),
         }
     )
-    def test_the_key_of_a_request(
-        self, case: tuple[list[tuple[bytes, bytes]], bytes | None]
-    ) -> None:
+    def test_api_key(self, case: tuple[list[tuple[bytes, bytes]], bytes | None]) -> None:
         headers, expected = case
         terms = _CONTRACT.caller_terms(self._request(*headers))
         self.assertEqual(expected, terms.api_key)
         self.assertNotIn("k1", repr(terms))
 
     @cases({"stated": (b"1500", 1.5), "not a number": (b"soon", None), "none": (None, None)})
-    def test_how_long_the_client_waits(self, case: tuple[bytes | None, float | None]) -> None:
+    def test_client_wait_time(self, case: tuple[bytes | None, float | None]) -> None:
         stated, expected = case
         headers = [(b"X-Egretrail-Request-Deadline", stated)] if stated is not None else []
         self.assertEqual(expected, _CONTRACT.caller_terms(self._request(*headers)).wait_s)
 
-    def test_the_directorys_question_and_answer(self) -> None:
+    def test_directory_request_and_response(self) -> None:
         asked = self._request(target=b"/api/resolve?name=x&region=r&zone=espoo-b")
         self.assertEqual("espoo-b", _CONTRACT.directory_zone(asked))
         self.assertIsNone(_CONTRACT.directory_zone(self._request()))
@@ -195,7 +195,7 @@
     "seq": 4,
 }
 
-#: Any JSON value, also those that only this language's decoder takes.
+#: Any JSON value, including those that only Python's decoder accepts, such as NaN.
 _JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner),
@@ -216,24 +216,24 @@
 
 
 class LayoutTest(EgretrailTestCase):
-    def test_a_configuration(self) -> None:
+    def test_decode_config(self) -> None:
         decoded = PlatformLayout().decode_config(json.dumps(_document()).encode())
         assert isinstance(decoded, Ok)
         config = decoded.ok_value
         [route] = config.routes
-        self.assertEqual((31, "shop.example", 4.0, 1.2), _shape(config.version, route))
+        self.assertEqual((31, "shop.example", 4.0, 1.2), _route_summary(config.version, route))
         self.assertIs(RouteKind.IDEMPOTENT, route.kind)
         self.assertEqual([("s", 90.0), ("t", 10.0)], [(p.service, p.weight) for p in route.parts])
         self.assertEqual((1000, 15.0), (config.limits.body_bytes, config.limits.idle_timeout_s))
 
     @cases({"safe": "safe", "download": "download"})
-    def test_kinds_that_may_be_repeated(self, kind: str) -> None:
+    def test_idempotent_route_types(self, kind: str) -> None:
         decoded = PlatformLayout().decode_config(json.dumps(_document(routeType=kind)).encode())
         assert isinstance(decoded, Ok)
         self.assertIs(RouteKind.IDEMPOTENT, decoded.ok_value.routes[0].kind)
 
     @cases({"unsafe": "unsafe", "a kind of later": "keyed"})
-    def test_other_kinds_must_not_be_repeated(self, kind: str) -> None:
+    def test_other_route_types_run_at_most_once(self, kind: str) -> None:
         decoded = PlatformLayout().decode_config(json.dumps(_document(routeType=kind)).encode())
         assert isinstance(decoded, Ok)
         self.assertIs(RouteKind.AT_MOST_ONCE, decoded.ok_value.routes[0].kind)
@@ -257,13 +257,13 @@
             "two faults": (json.dumps(_document(prefix="a", priority="x")).encode(), 2),
         }
     )
-    def test_faults_are_told_at_once(self, case: tuple[bytes, int]) -> None:
+    def test_all_faults_are_reported_at_once(self, case: tuple[bytes, int]) -> None:
         value, least = case
         decoded = PlatformLayout().decode_config(value)
         assert isinstance(decoded, Err)
         self.assertGreaterEqual(len(decoded.err_value.faults), least)
 
-    def test_accounts(self) -> None:
+    def test_decode_accounts(self) -> None:
         rows = [
             {"name": "a", "apiKeys": ["k1", "k2"], "priority": 0, "ratePerS": 89, "burst": 5},
             {"name": "b", "apiKeys": []},
@@ -290,7 +290,7 @@
             "a key of two accounts": {"name": "other", "apiKeys": ["k"]},
         }
     )
-    def test_faults_of_accounts_are_told_without_keys(self, row: dict[str, Any] | None) -> None:
+    def test_account_faults_do_not_reveal_keys(self, row: dict[str, Any] | None) -> None:
         broken = None if row is None else {"name": "a", "apiKeys": ["kept-secret"], **row}
         rows = [{"name": "first", "apiKeys": ["k"]}, broken]
         document = json.dumps({**_document(), "tenants": rows}).encode()
@@ -298,7 +298,7 @@
         assert isinstance(decoded, Err)
         self.assertNotIn("kept-secret", str(decoded.err_value))
 
-    def test_an_upstream(self) -> None:
+    def test_decode_upstream(self) -> None:
         decoded = _upstream(state="draining", warmupLeft="1500ms")
         assert isinstance(decoded, Ok)
         record = decoded.ok_value
@@ -307,7 +307,7 @@
         broken = PlatformLayout().decode_upstream(Entry("servers/i-1", "{}", 9))
         self.assertIsInstance(broken, Err)
 
-    def test_each_start_under_one_name_is_a_lifetime_of_its_own(self) -> None:
+    def test_each_start_under_the_same_name_is_a_new_lifetime(self) -> None:
         first, second = (
             _upstream(born=born).unwrap() for born in (1_790_000_000_000, 1_790_000_009_000)
         )
@@ -339,20 +339,20 @@
             "a start before all starts": _entry(born=-1),
         }
     )
-    def test_an_entry_of_another_writer_names_no_upstream(self, value: str) -> None:
+    def test_an_invalid_entry_is_rejected(self, value: str) -> None:
         decoded = PlatformLayout().decode_upstream(Entry("servers/i-1", value, 9))
         self.assertIsInstance(decoded, Err)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.dictionaries(st.sampled_from([*_ENTRY, "born", "x"]), _JSON), st.binary(max_size=60))
-    def test_any_entry_is_read_or_refused(self, document: dict[str, Any], data: bytes) -> None:
+    def test_any_entry_is_decoded_or_rejected(self, document: dict[str, Any], data: bytes) -> None:
         for value in (json.dumps({**_ENTRY, **document}), data.decode(errors="surrogateescape")):
             decoded = PlatformLayout().decode_upstream(Entry("servers/i-1", value, 9))
             self.assertIsInstance(decoded, (Ok, Err))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.dictionaries(st.sampled_from(sorted(_document())), _JSON), st.binary(max_size=60))
-    def test_any_configuration_is_read_or_refused(
+    def test_any_configuration_is_decoded_or_rejected(
         self, document: dict[str, Any], data: bytes
     ) -> None:
         for value in (json.dumps({**_document(), **document}).encode(), data, b"[" * 100_000):
@@ -360,7 +360,7 @@
             self.assertIsInstance(decoded, (Ok, Err))
 
 
-def _shape(version: int, route: Any) -> tuple[int, str, float, float]:
+def _route_summary(version: int, route: Any) -> tuple[int, str, float, float]:
     return version, route.host, route.timeout_s, route.objective_s
 
 
@@ -391,28 +391,28 @@
 
 
 class NodeFileTest(EgretrailTestCase):
-    def _read(self, text: str) -> Any:
+    def _read_text(self, text: str) -> Any:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.toml"
             path.write_text(text)
             return read_node_file(path)
 
-    def test_settings(self) -> None:
-        read = self._read(_NODE)
+    def test_read_settings(self) -> None:
+        read = self._read_text(_NODE)
         assert isinstance(read, Ok)
         node = read.ok_value
         self.assertEqual(("10.1.0.34", 7540), (node.ip, node.peer_port))
         self.assertEqual(["10.1.0.34", "10.2.0.34"], list(node.seeds))
-        self.assertEqual((1.0, 6.0, 62.0), _bounds(node))
+        self.assertEqual((1.0, 6.0, 62.0), _bound_values(node))
 
     @cases(
         {
             "another size": lambda path: path.write_text(_NODE + "\n"),
-            "replaced by another of the same size": lambda path: _replace(path),
+            "replaced by another of the same size": lambda path: _replace_by_copy(path),
             "gone": lambda path: path.unlink(),
         }
     )
-    def test_the_stamp_of_a_file_differs_after_a_change(self, change: Any) -> None:
+    def test_the_fingerprint_of_a_file_differs_after_a_change(self, change: Any) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.toml"
             path.write_text(_NODE)
@@ -430,9 +430,9 @@
             "wrong unit": (_NODE.replace('"6s"', '"6 hours"'), 1),
         }
     )
-    def test_faults(self, case: tuple[str | None, int]) -> None:
+    def test_faults_of_an_unreadable_file(self, case: tuple[str | None, int]) -> None:
         text, count = case
-        read = read_node_file(Path("/nowhere")) if text is None else self._read(text)
+        read = read_node_file(Path("/nowhere")) if text is None else self._read_text(text)
         assert isinstance(read, Err)
         self.assertEqual(count, len(read.err_value.faults))
 
@@ -459,28 +459,26 @@
             "nested_too_deep": ("nodeName", "[" * 5000),
         }
     )
-    def test_a_value_that_would_break_a_running_process_is_one_fault(
-        self, case: tuple[str, str]
-    ) -> None:
+    def test_an_unusable_value_is_reported_as_one_fault(self, case: tuple[str, str]) -> None:
         name, value = case
         bounds = 'budgetWindow = "10s"\nretryBudgetRatio = 0.2\n'
-        read = self._read(re.sub(rf"(?m)^{name} = .*$", f"{name} = {value}", _NODE + bounds))
+        read = self._read_text(re.sub(rf"(?m)^{name} = .*$", f"{name} = {value}", _NODE + bounds))
         assert isinstance(read, Err), read
         self.assertEqual(1, len(read.err_value.faults))
 
 
-def _replace(path: Path) -> None:
+def _replace_by_copy(path: Path) -> None:
     other = path.with_suffix(".new")
     other.write_text(_NODE)
     other.replace(path)
 
 
-def _bounds(settings: Any) -> tuple[float, float, float]:
+def _bound_values(settings: Any) -> tuple[float, float, float]:
     return settings.capacity, settings.stop_grace_s, settings.repeat_slack
 
 
 class NamesTest(EgretrailTestCase):
-    """Nothing outside the adapter knows the platform's names."""
+    """Only the adapter may contain the platform's wire names."""
 
     _NAMES = (
         "x-egretrail-attempt-id",
@@ -501,7 +499,7 @@
         "nodeName",
     )
 
-    def test_names_stand_in_the_adapter_only(self) -> None:
+    def test_wire_names_appear_in_the_adapter_only(self) -> None:
         root = Path(__file__).resolve().parents[2]
         found: Mapping[str, list[str]] = {
             str(path.relative_to(root)): [n for n in self._NAMES if n.lower() in text]
