--- a/src/egretrail/cli/_client.py
+++ b/src/egretrail/cli/_client.py
@@ -1,4 +1,4 @@
-"""Speaks to the operators' face of one instance."""
+"""HTTP client of one instance's operator API."""
 
 import asyncio
 import enum
@@ -13,26 +13,26 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the tool's exit code says."""
+    """Exit codes of the tool."""
 
     OK = 0
-    #: The instance refused, or what was waited for did not come.
+    #: The instance refused the call, or an awaited condition did not hold in time.
     REFUSED = 1
-    #: The command line was wrong; click ends with this one itself.
+    #: The command line was invalid; click exits with this code itself.
     USAGE = 2
     #: The instance could not be reached, or did not answer.
     UNREACHABLE = 3
-    #: Another operator's change came first.
+    #: Another operator's change was applied first.
     LOST_RACE = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The instance did not answer."""
+    """The instance could not be reached or did not respond."""
 
-    #: What was asked.
+    #: The URL of the request.
     url: str
-    #: The transport's own account of the failure.
+    #: The transport's description of the failure.
     cause: str
 
     def __str__(self) -> str:
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The instance answered with a problem."""
+    """The instance responded with a problem document."""
 
     #: The HTTP status.
     status: int
@@ -59,19 +59,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorClient:
-    """One instance's operators' face."""
+    """Client of one instance's operator API."""
 
-    #: Base URL of the face.
+    #: Base URL of the operator API.
     url: str
-    #: The team's token; empty: none is sent.
+    #: The team's token; if empty, none is sent.
     token: str
-    #: How long an answer is waited for.
+    #: Time-out of a call, in seconds.
     timeout_s: float
 
     def call(
         self, method: str, path: str, query: Mapping[str, str] | None = None, body: str = ""
     ) -> Result[Any, CallFailure]:
-        """Make one call and return the JSON document of its answer."""
+        """Make one call and return the JSON document of its response."""
         if not self.url:
             raise click.UsageError("give --operator-url or set EGRETRAIL_OPERATOR_URL")
         return asyncio.run(self._call(method, path, query or {}, body))
--- a/src/egretrail/cli/_gateway.py
+++ b/src/egretrail/cli/_gateway.py
@@ -1,4 +1,4 @@
-"""Commands about gateways on the platform."""
+"""The ``egretrail gateway`` commands."""
 
 import json
 import sys
@@ -11,13 +11,13 @@
 
 from egretrail.cli._gateway_show import burn, show
 from egretrail.diagnosis import (
-    Kind,
+    CauseKind,
     LogLine,
     LossReport,
+    build_timeline,
     find_cause,
     find_losses,
     parse_lines,
-    tell_story,
 )
 from egretrail.platform import PlatformLayout, read_node_file
 
@@ -50,21 +50,21 @@
 
     Exits with 1 where no line names the attempt.
     """
-    story = tell_story(attempt_id, _lines(logs))
-    cause = find_cause(story)
+    timeline = build_timeline(attempt_id, _lines(logs))
+    cause = find_cause(timeline)
     if as_json:
         document = {
             "id": attempt_id,
             "kind": cause.kind.value,
             "cause": cause.text,
-            "lines": [str(line) for line in story.lines()],
+            "lines": [str(line) for line in timeline.merged_lines()],
         }
         click.echo(json.dumps(document))
     else:
-        for line in story.lines():
+        for line in timeline.merged_lines():
             click.echo(str(line))
         click.echo(f"cause ({cause.kind.value}): {cause.text}")
-    if cause.kind is Kind.UNKNOWN:
+    if cause.kind is CauseKind.UNKNOWN:
         sys.exit(1)
 
 
--- /dev/null
+++ b/src/egretrail/cli/_gateway_metrics.py
@@ -0,0 +1,129 @@
+"""Reads metrics from gateways' addresses and aggregates them over the fleet."""
+
+import asyncio
+from collections import Counter
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+
+import aiohttp
+from prometheus_client.parser import text_string_to_metric_families
+from result import Err, Ok, Result
+
+from egretrail.cli._client import Unreachable
+
+#: A running gateway responds within milliseconds; a paused or partitioned one does not.
+_TIMEOUT_S = 2.0
+#: Outcomes that count neither for nor against the service: the client disconnected.
+_EXCLUDED_OUTCOMES = frozenset({"client_left"})
+_SERVED_OUTCOME = "served"
+
+
+@dataclass(frozen=True, slots=True)
+class MetricsReading:
+    """The metrics of one gateway at one time."""
+
+    #: The address that the metrics were read from.
+    address: str
+    #: Gauges and unlabelled counters by name, without the prefix.
+    values: Mapping[str, float]
+    #: Final responses by route and outcome.
+    answers: Mapping[tuple[str, str], int]
+    #: Refusals by reason.
+    refusals: Mapping[str, int]
+
+
+@dataclass(frozen=True, slots=True)
+class RouteBurnRate:
+    """A route's request counts over all gateways, and the burn rate of its error budget."""
+
+    #: The route.
+    route: str
+    #: Requests whose clients did not disconnect before the response.
+    asked: int
+    #: Requests that an upstream served.
+    served: int
+    #: Requests that were not served, by outcome.
+    unserved: Mapping[str, int]
+    #: The share of requests that were not served, divided by the share that the objective allows.
+    rate: float
+
+
+@dataclass(slots=True)
+class _RouteCounts:
+    asked: int = 0
+    served: int = 0
+    unserved: Counter[str] = field(default_factory=Counter)
+
+
+def parse_metrics(address: str, text: str) -> MetricsReading:
+    """Parse metrics in Prometheus' text format; raises ValueError for any other text."""
+    values: dict[str, float] = {}
+    answers: dict[tuple[str, str], int] = {}
+    refusals: dict[str, int] = {}
+    for family in text_string_to_metric_families(text):
+        for sample in family.samples:
+            name = sample.name.removeprefix("egretrail_")
+            if name == "answers_total":
+                key = (sample.labels["route"], sample.labels["outcome"])
+                answers[key] = int(sample.value)
+            elif name == "refusals_total":
+                refusals[sample.labels["reason"]] = int(sample.value)
+            elif not sample.labels:
+                values[name] = sample.value
+    return MetricsReading(address, values, answers, refusals)
+
+
+def compute_burn_rates(
+    readings: Sequence[MetricsReading], earlier_readings: Sequence[MetricsReading], objective: float
+) -> list[RouteBurnRate]:
+    """Return each route's burn rate between two readings, highest first.
+
+    If a gateway's counters decreased, the gateway was restarted in between, and its counts since
+    the start are used. The same applies to a gateway without an earlier reading.
+    """
+    earlier_by_address = {reading.address: reading.answers for reading in earlier_readings}
+    counts: dict[str, _RouteCounts] = {}
+    for reading in readings:
+        earlier_answers = earlier_by_address.get(reading.address, {})
+        restarted = any(
+            reading.answers.get(key, 0) < count for key, count in earlier_answers.items()
+        )
+        for (route, outcome), count in reading.answers.items():
+            new = count - (0 if restarted else earlier_answers.get((route, outcome), 0))
+            _add_outcome(counts.setdefault(route, _RouteCounts()), outcome, new)
+    burns = [_burn_rate(route, one, objective) for route, one in counts.items() if one.asked]
+    return sorted(burns, key=lambda burn: -burn.rate)
+
+
+async def read_all_metrics(addresses: Sequence[str]) -> list[Result[MetricsReading, Unreachable]]:
+    """Read the metrics of gateways concurrently; the results are in the order of the addresses."""
+    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+    async with aiohttp.ClientSession(timeout=timeout) as session:
+        return list(await asyncio.gather(*(_read_metrics(session, one) for one in addresses)))
+
+
+async def _read_metrics(
+    session: aiohttp.ClientSession, address: str
+) -> Result[MetricsReading, Unreachable]:
+    url = f"http://{address}/"
+    try:
+        async with session.get(url) as response:
+            response.raise_for_status()
+            return Ok(parse_metrics(address, await response.text()))
+    except (aiohttp.ClientError, TimeoutError, ValueError) as error:
+        return Err(Unreachable(url, repr(error)))
+
+
+def _add_outcome(counts: _RouteCounts, outcome: str, count: int) -> None:
+    if outcome in _EXCLUDED_OUTCOMES or count <= 0:
+        return
+    counts.asked += count
+    if outcome == _SERVED_OUTCOME:
+        counts.served += count
+    else:
+        counts.unserved[outcome] += count
+
+
+def _burn_rate(route: str, counts: _RouteCounts, objective: float) -> RouteBurnRate:
+    rate = (1.0 - counts.served / counts.asked) / (1.0 - objective)
+    return RouteBurnRate(route, counts.asked, counts.served, dict(counts.unserved), rate)
--- a/src/egretrail/cli/_gateway_show.py
+++ b/src/egretrail/cli/_gateway_show.py
@@ -10,9 +10,14 @@
 from result import Err, Result
 
 from egretrail.cli._client import ExitCode, Unreachable
-from egretrail.cli._gateway_figures import GatewayFigures, RouteBurn, read_all, route_burns
+from egretrail.cli._gateway_metrics import (
+    MetricsReading,
+    RouteBurnRate,
+    compute_burn_rates,
+    read_all_metrics,
+)
 
-#: Columns of ``show``: the title, and the name of the value.
+#: Columns of ``show``: the title, and the name of the metric.
 _COLUMNS = (
     ("members", "members"),
     ("upstreams", "upstreams"),
@@ -35,17 +40,17 @@
     Exits with 1 where gateways differ in their configuration or in whom they know, with 3 where one
     does not answer.
     """
-    read = asyncio.run(read_all(addresses))
-    answered = _answered(read)
-    differences = _differences(answered)
+    results = asyncio.run(read_all_metrics(addresses))
+    readings = _successful_readings(results)
+    differences = _differences(readings)
     if as_json:
-        click.echo(json.dumps(_document(read, differences)))
+        click.echo(json.dumps(_show_document(results, differences)))
     else:
-        _print_table(answered)
+        _print_table(readings)
         for difference in differences:
             click.echo(difference)
-        _print_silent(read)
-    if len(answered) < len(read):
+        _print_unreachable(results)
+    if len(readings) < len(results):
         sys.exit(ExitCode.UNREACHABLE)
     if differences:
         sys.exit(ExitCode.REFUSED)
@@ -75,9 +80,9 @@
     A rate of 1 uses up the budget exactly. Exits with 1 where a route burns faster, with 3 where no
     gateway answers.
     """
-    now, before = asyncio.run(_two_readings(addresses, interval_s))
-    answered = _answered(now)
-    burns = route_burns(answered, _answered(before), objective)
+    now, before = asyncio.run(_read_twice(addresses, interval_s))
+    readings = _successful_readings(now)
+    burns = compute_burn_rates(readings, _successful_readings(before), objective)
     if as_json:
         rows = [
             {
@@ -92,68 +97,70 @@
         click.echo(json.dumps({"objective": objective, "routes": rows}))
     else:
         _print_burns(burns)
-        _print_silent(now)
-    if not answered:
+        _print_unreachable(now)
+    if not readings:
         sys.exit(ExitCode.UNREACHABLE)
     if any(one.rate > 1.0 for one in burns):
         sys.exit(ExitCode.REFUSED)
 
 
-_Readings = Sequence[Result[GatewayFigures, Unreachable]]
+_ReadResults = Sequence[Result[MetricsReading, Unreachable]]
 
 
-async def _two_readings(addresses: Sequence[str], interval_s: float) -> tuple[_Readings, _Readings]:
+async def _read_twice(
+    addresses: Sequence[str], interval_s: float
+) -> tuple[_ReadResults, _ReadResults]:
     if interval_s <= 0.0:
-        return await read_all(addresses), []
-    before = await read_all(addresses)
+        return await read_all_metrics(addresses), []
+    before = await read_all_metrics(addresses)
     await asyncio.sleep(interval_s)
-    return await read_all(addresses), before
+    return await read_all_metrics(addresses), before
 
 
-def _answered(read: _Readings) -> list[GatewayFigures]:
-    return [one.ok_value for one in read if not isinstance(one, Err)]
+def _successful_readings(results: _ReadResults) -> list[MetricsReading]:
+    return [one.ok_value for one in results if not isinstance(one, Err)]
 
 
-def _differences(answered: Sequence[GatewayFigures]) -> list[str]:
-    """Name the values that should be the same on all gateways and are not."""
+def _differences(readings: Sequence[MetricsReading]) -> list[str]:
+    """Describe the values that differ between gateways although they should be equal."""
     found = []
     for title, name in (("configuration", "config_version"), ("members", "members")):
-        counts = Counter(int(one.values.get(name, 0)) for one in answered)
+        counts = Counter(int(one.values.get(name, 0)) for one in readings)
         if len(counts) > 1:
             parts = ", ".join(f"{value} on {count}" for value, count in sorted(counts.items()))
             found.append(f"gateways differ in {title}: {parts}")
     return found
 
 
-def _document(read: _Readings, differences: Sequence[str]) -> dict[str, object]:
+def _show_document(results: _ReadResults, differences: Sequence[str]) -> dict[str, object]:
     gateways = [
         {"address": one.address, "values": dict(one.values), "refusals": dict(one.refusals)}
-        for one in _answered(read)
+        for one in _successful_readings(results)
     ]
-    silent = [str(one.err_value) for one in read if isinstance(one, Err)]
+    silent = [str(one.err_value) for one in results if isinstance(one, Err)]
     return {"gateways": gateways, "differences": list(differences), "silent": silent}
 
 
-def _print_table(answered: Sequence[GatewayFigures]) -> None:
+def _print_table(readings: Sequence[MetricsReading]) -> None:
     click.echo(f"{'address':22}" + "".join(f"{title:>15}" for title, _ in _COLUMNS))
-    for one in answered:
+    for one in readings:
         cells = "".join(f"{one.values.get(name, 0):15g}" for _, name in _COLUMNS)
         click.echo(f"{one.address:22}{cells}")
     refusals: Counter[str] = Counter()
-    for one in answered:
+    for one in readings:
         refusals.update(one.refusals)
     for reason, count in refusals.most_common():
         click.echo(f"refused {reason}: {count}")
 
 
-def _print_burns(burns: Sequence[RouteBurn]) -> None:
+def _print_burns(burns: Sequence[RouteBurnRate]) -> None:
     click.echo(f"{'route':24}{'asked':>10}{'served':>10}{'burn rate':>11}  not served")
     for one in burns:
         causes = " ".join(f"{outcome}:{count}" for outcome, count in sorted(one.unserved.items()))
         click.echo(f"{one.route:24}{one.asked:10}{one.served:10}{one.rate:11.2f}  {causes}")
 
 
-def _print_silent(read: _Readings) -> None:
-    for one in read:
+def _print_unreachable(results: _ReadResults) -> None:
+    for one in results:
         if isinstance(one, Err):
             click.echo(str(one.err_value), err=True)
--- a/src/egretrail/cli/_main.py
+++ b/src/egretrail/cli/_main.py
@@ -1,4 +1,4 @@
-"""The tool's entry: options that every command shares."""
+"""Entry point of the tool, with the options that all commands share."""
 
 import os
 
@@ -27,8 +27,8 @@
 @click.option("--timeout-s", type=float, default=10.0, show_default=True, help="For each answer.")
 @click.pass_context
 def main(context: click.Context, operator_url: str | None, timeout_s: float) -> None:
-    """Keep what the commands share."""
-    # The token comes from the environment alone: a command line is seen by every user.
+    """Create the context that the commands share."""
+    # The token is read from the environment only: every user of the machine can see command lines.
     token = os.environ.get("EGRETRAIL_TOKEN", "")
     context.obj = Context(OperatorClient(operator_url or "", token, timeout_s))
 
--- a/src/egretrail/cli/_output.py
+++ b/src/egretrail/cli/_output.py
@@ -1,4 +1,4 @@
-"""Prints answers, as tables or as JSON, and ends with the exit code that fits."""
+"""Prints responses as tables or as JSON, and exits with the matching exit code."""
 
 import json
 import sys
@@ -11,16 +11,16 @@
 
 from egretrail.cli._client import CallFailure, ExitCode, OperatorClient, Refused
 
-_LOST_RACE = "urn:egretrail:problem:lost-race"
+_LOST_RACE_TYPE = "urn:egretrail:problem:lost-race"
 
 
 @dataclass(slots=True)
 class Context:
-    """What every command shares."""
+    """State that all commands share."""
 
-    #: The instance that is asked.
+    #: Client of the instance that is queried.
     client: OperatorClient
-    #: Whether answers are printed as JSON.
+    #: Whether responses are printed as JSON.
     as_json: bool = False
 
 
@@ -28,7 +28,7 @@
     context.obj.as_json = value
 
 
-#: Every command that prints an answer takes ``--json``.
+#: The ``--json`` option of every command that prints a response.
 json_option = click.option(
     "--json",
     is_flag=True,
@@ -39,21 +39,21 @@
 
 
 def fail(context: Context, failure: CallFailure) -> NoReturn:
-    """Print a failure and end."""
+    """Print a failure and exit."""
     if not isinstance(failure, Refused):
         _print_failure(context, {"title": str(failure)}, str(failure))
         sys.exit(ExitCode.UNREACHABLE)
     problem = failure.problem
     text = str(failure)
-    lost = problem.get("type") == _LOST_RACE
-    if lost:
-        text += _both_changes(problem)
+    lost_race = problem.get("type") == _LOST_RACE_TYPE
+    if lost_race:
+        text += _conflict_text(problem)
     _print_failure(context, problem, text)
-    sys.exit(ExitCode.LOST_RACE if lost else ExitCode.REFUSED)
+    sys.exit(ExitCode.LOST_RACE if lost_race else ExitCode.REFUSED)
 
 
 def unwrap(context: Context, answer: Result[Any, CallFailure]) -> Any:
-    """Return an answer's document, or print the failure and end."""
+    """Return the document of a successful call, or print the failure and exit."""
     if isinstance(answer, Err):
         fail(context, answer.err_value)
     return answer.ok_value
@@ -65,7 +65,7 @@
 
 
 def print_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows under a head, in columns as wide as they need."""
+    """Print rows under a header, in columns as wide as their widest cell."""
     cells = [list(head), *([str(cell) for cell in row] for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
     for row in cells:
@@ -80,7 +80,7 @@
         click.echo(f"egretrail: {text}", err=True)
 
 
-def _both_changes(problem: Any) -> str:
+def _conflict_text(problem: Any) -> str:
     yours, theirs = problem["yours"], problem["theirs"]
     return (
         f"\n--- yours ({yours['change_id']}), not accepted\n{yours['text'] or '(deletion)'}"
--- a/src/egretrail/cli/_report.py
+++ b/src/egretrail/cli/_report.py
@@ -1,4 +1,4 @@
-"""Shows the service-level burn report: as a table, as JSON, and as a page with plots."""
+"""Prints the error budget report as a table or as JSON, or writes an HTML page with plots."""
 
 import base64
 import html
@@ -14,8 +14,8 @@
 
 _REPORT = TypeAdapter(FleetReport)
 
-#: Burn rates from which a window is worth waking someone (14.4: a thirtieth of a 30-day budget in
-#: an hour) and worth a ticket (1: the budget ends with its period).
+#: Burn rates from which a window pages the engineer on call (14.4: a thirtieth of a 30-day budget
+#: in an hour) or opens a ticket (1: the budget is used up exactly at the end of its period).
 _PAGE_RATE = 14.4
 _TICKET_RATE = 1.0
 
@@ -27,13 +27,13 @@
 def report(context: Context, page: Path | None) -> None:
     """Show how fast each service's error budget burns, and what burns it, fleet-wide."""
     document = unwrap(context, context.client.call("GET", "/v1/report"))
-    gathered = _REPORT.validate_python(document)
+    fleet_report = _REPORT.validate_python(document)
     if page is not None:
-        page.write_text(report_page(gathered))
+        page.write_text(report_page(fleet_report))
     if context.as_json:
         print_json(document)
     else:
-        click.echo(report_table(gathered))
+        click.echo(report_table(fleet_report))
 
 
 def _window_name(window_s: float) -> str:
@@ -44,7 +44,7 @@
     return ", ".join(f"{kind} {count}" for kind, count in sorted(burnt.items())) or "-"
 
 
-def _judgement(rate: float) -> str:
+def _alert_level(rate: float) -> str:
     if rate >= _PAGE_RATE:
         return "page"
     return "ticket" if rate > _TICKET_RATE else "ok"
@@ -78,7 +78,7 @@
         shown = (name, objective) if number == 0 else ("", "")
         lines.append(
             f"{shown[0]:<34}{shown[1]:>16}{_window_name(burn.window_s):>8}{burn.requests:>10}"
-            f"{burn.rate:>8.1f}{budget_left(burn):>8.0%}  {_judgement(burn.rate):<7}"
+            f"{burn.rate:>8.1f}{budget_left(burn):>8.0%}  {_alert_level(burn.rate):<7}"
             f"{_burnt_text(burn.burnt)}"
         )
     return lines
@@ -101,7 +101,7 @@
 
 
 def report_page(report: FleetReport) -> str:
-    """Return the report as an HTML page with its plots inside."""
+    """Return the report as an HTML page with embedded plots."""
     return (
         "<!doctype html><html lang='en'><meta charset='utf-8'><title>egretrail burn report</title>"
         "<style>body{font-family:sans-serif;margin:2em}pre{overflow-x:auto}</style>"
@@ -112,8 +112,9 @@
 
 
 def _plot(report: FleetReport) -> str:
-    """Return a PNG of burn rates and of what burnt them, in base64."""
-    # Only the page needs it, and it takes longer to import than the rest of the tool together.
+    """Return a base64-encoded PNG of the burn rates and of the outcomes that cause them."""
+    # Imported here because only the page needs it, and importing it takes longer than importing
+    # the rest of the tool.
     from matplotlib.figure import Figure
 
     names = [service.service for service in report.services]
@@ -142,6 +143,6 @@
     causes.set_xlabel("requests not answered well, longest window")
     if kinds:
         causes.legend()
-    drawn = io.BytesIO()
-    figure.savefig(drawn, format="png", dpi=110)
-    return base64.b64encode(drawn.getvalue()).decode()
+    png = io.BytesIO()
+    figure.savefig(png, format="png", dpi=110)
+    return base64.b64encode(png.getvalue()).decode()
--- a/src/egretrail/cli/_settings.py
+++ b/src/egretrail/cli/_settings.py
@@ -1,4 +1,4 @@
-"""``egretrail settings``: the fleet's settings under their paths."""
+"""The ``egretrail settings`` commands, which read and change the fleet's settings."""
 
 import secrets
 import sys
@@ -12,8 +12,8 @@
 from egretrail.cli._client import CallFailure, ExitCode, Unreachable
 from egretrail.cli._output import Context, json_option, print_json, print_table, unwrap
 
-#: A write that nobody answered is sent again with the same change id, so that it counts once.
-_WRITE_TRIES = 3
+#: A write without a response is retried with the same change id, so that it is applied once.
+_WRITE_ATTEMPTS = 3
 _POLL_S = 0.2
 
 _path = click.argument("path", metavar="TEAM/KIND/NAME")
@@ -49,11 +49,11 @@
 @click.pass_obj
 def get(context: Context, path: str) -> None:
     """Print a path's TOML text."""
-    document = _get(context, path)
+    document = _fetch_setting(context, path)
     if context.as_json:
         print_json(document)
         return
-    text = _text(document)
+    text = _current_text(document)
     if text is None:
         click.echo(f"egretrail: {path} does not exist", err=True)
         sys.exit(ExitCode.REFUSED)
@@ -83,10 +83,10 @@
     wait_limit_s: float,
 ) -> None:
     """Put the TOML text in FILE (-: standard input) under a path."""
-    seen = _get(context, path)["revision"] if revision is None else revision
-    query = _query(seen, change_id, author)
-    accepted = unwrap(context, _written(context, "PUT", path, query, file.read()))
-    _finish(context, accepted, wait_limit_s if wait else 0.0)
+    expected_revision = _fetch_setting(context, path)["revision"] if revision is None else revision
+    query = _change_query(expected_revision, change_id, author)
+    accepted = unwrap(context, _send_write(context, "PUT", path, query, file.read()))
+    _report_accepted(context, accepted, wait_limit_s if wait else 0.0)
 
 
 @settings.command()
@@ -108,10 +108,10 @@
     wait_limit_s: float,
 ) -> None:
     """Delete a path; a service that a route uses stays."""
-    seen = _get(context, path)["revision"] if revision is None else revision
-    query = _query(seen, change_id, author)
-    accepted = unwrap(context, _written(context, "DELETE", path, query, ""))
-    _finish(context, accepted, wait_limit_s if wait else 0.0)
+    expected_revision = _fetch_setting(context, path)["revision"] if revision is None else revision
+    query = _change_query(expected_revision, change_id, author)
+    accepted = unwrap(context, _send_write(context, "DELETE", path, query, ""))
+    _report_accepted(context, accepted, wait_limit_s if wait else 0.0)
 
 
 @settings.command()
@@ -122,8 +122,8 @@
 @click.pass_obj
 def diff(context: Context, path: str, start: int | None, to: int | None) -> None:
     """Show the difference between two changes, by default the last two."""
-    given = {"from": start, "to": to}
-    query = {key: str(value) for key, value in given.items() if value is not None}
+    bounds = {"from": start, "to": to}
+    query = {key: str(value) for key, value in bounds.items() if value is not None}
     document = unwrap(context, context.client.call("GET", f"/v1/settings/{path}/diff", query))
     if context.as_json:
         print_json(document)
@@ -170,30 +170,31 @@
     sys.exit(ExitCode.OK if not document["lack"] + document["silent"] else ExitCode.REFUSED)
 
 
-def _get(context: Context, path: str) -> Any:
+def _fetch_setting(context: Context, path: str) -> Any:
     document = unwrap(context, context.client.call("GET", f"/v1/settings/{path}"))
-    # While the store is out the revision of what is in force is the best that can be told.
+    # While the store is unreachable, the latest revision is unknown; the revision in force on the
+    # instance is used instead.
     if document["revision"] is None:
         document["revision"] = document["in_force_here"]["generation"]
     return document
 
 
-def _text(document: Any) -> str | None:
+def _current_text(document: Any) -> str | None:
     source = document["in_force_here"] if document["store_out"] else document["latest"]
     text: str | None = source["text"]
     return text
 
 
-def _query(revision: int, change_id: str | None, author: str | None) -> Mapping[str, str]:
+def _change_query(revision: int, change_id: str | None, author: str | None) -> Mapping[str, str]:
     query = {"revision": str(revision), "change_id": change_id or secrets.token_hex(8)}
     return query if author is None else {**query, "author": author}
 
 
-def _written(
+def _send_write(
     context: Context, method: str, path: str, query: Mapping[str, str], text: str
 ) -> Result[Any, CallFailure]:
     answer = context.client.call(method, f"/v1/settings/{path}", query, text)
-    for _ in range(_WRITE_TRIES - 1):
+    for _ in range(_WRITE_ATTEMPTS - 1):
         if not (isinstance(answer, Err) and isinstance(answer.err_value, Unreachable)):
             break
         answer = context.client.call(method, f"/v1/settings/{path}", query, text)
@@ -202,37 +203,37 @@
     return answer
 
 
-def _finish(context: Context, accepted: Any, wait_limit_s: float) -> None:
-    """Print what was accepted, after waiting until it is in force everywhere."""
-    found = _wait(context, accepted, wait_limit_s) if wait_limit_s else None
+def _report_accepted(context: Context, accepted: Any, wait_limit_s: float) -> None:
+    """Wait until an accepted change is in force, if a wait limit is given, and print the result."""
+    status = _wait_until_in_force(context, accepted, wait_limit_s) if wait_limit_s else None
     if context.as_json:
-        print_json(accepted if found is None else {**accepted, "in_force": found})
+        print_json(accepted if status is None else {**accepted, "in_force": status})
     else:
         click.echo(f"{accepted['path']} accepted as revision {accepted['revision']}")
         for fault in accepted["conflicts"]:
             click.echo(f"conflict: {fault['key']}: {fault['reason']}", err=True)
-        if found is not None:
-            click.echo(_in_force_text(found))
-    if found is not None and found["lack"] + found["silent"]:
+        if status is not None:
+            click.echo(_in_force_text(status))
+    if status is not None and status["lack"] + status["silent"]:
         sys.exit(ExitCode.REFUSED)
 
 
-def _wait(context: Context, accepted: Any, wait_limit_s: float) -> Any:
-    until_s = time.monotonic() + wait_limit_s
+def _wait_until_in_force(context: Context, accepted: Any, wait_limit_s: float) -> Any:
+    deadline_s = time.monotonic() + wait_limit_s
     path = f"/v1/settings/{accepted['path']}/in-force"
     query = {"generation": str(accepted["revision"])}
     while True:
-        found = unwrap(context, context.client.call("GET", path, query))
-        if not found["lack"] + found["silent"] or time.monotonic() > until_s:
-            return found
+        status = unwrap(context, context.client.call("GET", path, query))
+        if not status["lack"] + status["silent"] or time.monotonic() > deadline_s:
+            return status
         time.sleep(_POLL_S)
 
 
-def _in_force_text(found: Any) -> str:
-    total = len(found["have"]) + len(found["lack"]) + len(found["silent"])
-    text = f"revision {found['generation']} is in force on {len(found['have'])} of {total}"
-    if found["lack"]:
-        text += f"\nnot yet on: {', '.join(found['lack'])}"
-    if found["silent"]:
-        text += f"\ndid not answer: {', '.join(found['silent'])}"
+def _in_force_text(status: Any) -> str:
+    total = len(status["have"]) + len(status["lack"]) + len(status["silent"])
+    text = f"revision {status['generation']} is in force on {len(status['have'])} of {total}"
+    if status["lack"]:
+        text += f"\nnot yet on: {', '.join(status['lack'])}"
+    if status["silent"]:
+        text += f"\ndid not answer: {', '.join(status['silent'])}"
     return text
--- a/src/egretrail/cli/_views.py
+++ b/src/egretrail/cli/_views.py
@@ -1,4 +1,4 @@
-"""What an instance sees: routes, upstreams, the fleet's instances, and why a request goes where."""
+"""Commands that show an instance's routes, upstreams, fleet members and routing decisions."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -15,7 +15,7 @@
 def routes(context: Context) -> None:
     """List the routes in force on the instance."""
     columns = ("route", "host", "path_prefix", "service", "idempotent_methods")
-    _list(context, "routes", columns)
+    _print_list(context, "routes", columns)
 
 
 @click.command()
@@ -24,7 +24,7 @@
 def upstreams(context: Context) -> None:
     """List the upstreams of the services that the instance serves."""
     columns = ("service", "upstream", "state", "weight", "cause", "for_s", "in_flight")
-    _list(context, "upstreams", columns)
+    _print_list(context, "upstreams", columns)
 
 
 @click.command()
@@ -32,7 +32,9 @@
 @click.pass_obj
 def instances(context: Context) -> None:
     """List the fleet as the instance sees it."""
-    _list(context, "instances", ("name", "availability_zone", "state", "ready", "incarnation"))
+    _print_list(
+        context, "instances", ("name", "availability_zone", "state", "ready", "incarnation")
+    )
 
 
 @click.command()
@@ -53,23 +55,23 @@
         print_json(document)
         return
     for key, value in document.items():
-        click.echo(f"{key.replace('_', ' ')}: {_shown(value)}")
+        click.echo(f"{key.replace('_', ' ')}: {_format_value(value)}")
 
 
-def _list(context: Context, what: str, columns: Sequence[str]) -> None:
+def _print_list(context: Context, what: str, columns: Sequence[str]) -> None:
     document = unwrap(context, context.client.call("GET", f"/v1/{what}"))
     if context.as_json:
         print_json(document)
         return
-    rows = [[_shown(row.get(column)) for column in columns] for row in document[what]]
+    rows = [[_format_value(row.get(column)) for column in columns] for row in document[what]]
     print_table([column.replace("_", " ") for column in columns], rows)
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, list):
-        return ", ".join(_shown(item) for item in value) or "-"
+        return ", ".join(_format_value(item) for item in value) or "-"
     if isinstance(value, dict):
-        return " ".join(f"{key}={_shown(item)}" for key, item in value.items())
+        return " ".join(f"{key}={_format_value(item)}" for key, item in value.items())
     if isinstance(value, bool):
         return "yes" if value else "no"
     return "-" if value in (None, "") else str(value)
--- a/src/egretrail/cli/tests/operator_server.py
+++ b/src/egretrail/cli/tests/operator_server.py
@@ -1,4 +1,4 @@
-"""An operators' face with settings, on a loopback port, for the tool's tests."""
+"""An operator API with settings on a loopback port, for the tests of the tool."""
 
 import asyncio
 import threading
@@ -16,14 +16,14 @@
 
 
 class RoutesResource:
-    """Stands for the daemon's own resource of the same form."""
+    """Stand-in for the daemon's resource, with a response of the same form."""
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         resp.media = {"routes": [{"route": "t/r", "service": "t/a", "idempotent_methods": ["GET"]}]}
 
 
 class OperatorServer:
-    """Serves three instances' settings through one of them, in a thread of its own."""
+    """Serves the settings API of one of three instances, in its own thread."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
--- a/src/egretrail/cli/tests/test_cli.py
+++ b/src/egretrail/cli/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' tool against a real operators' face."""
+"""Tests of the operators' tool against a real operator API."""
 
 import json
 
@@ -17,7 +17,7 @@
 class ToolTestCase(EgretrailTestCase):
     def setUp(self) -> None:
         super().setUp()
-        # The face runs in this process: its log lines must not mix with what the tool prints.
+        # The API server runs in this process; its log lines must not mix with the tool's output.
         self.logged = self.enterContext(structlog.testing.capture_logs())
         self.server = self.enterContext(OperatorServer())
 
@@ -32,7 +32,7 @@
 
 
 class SettingsCommandsTest(ToolTestCase):
-    def test_a_setting_goes_in_is_in_force_is_read_compared_and_deleted(self) -> None:
+    def test_a_setting_is_put_read_compared_and_deleted(self) -> None:
         put = self.ok("settings", "put", "t/services/a", "-", "--wait", text=_SERVICE)
         self.assertIn("in force on 3 of 3", put)
         self.ok("settings", "put", "t/services/a", "-", "--author", "ann", text="floor = 2\n")
@@ -62,7 +62,7 @@
             "wrong_token": ("t/services/a", _SERVICE, "token-of-the-team-x", 1),
         }
     )
-    def test_refusals_change_nothing(self, row: tuple[str, str, str, int]) -> None:
+    def test_refused_writes_change_nothing(self, row: tuple[str, str, str, int]) -> None:
         path, text, token, code = row
         arguments = ("settings", "put", path, "-", "--revision", "0")
         result = self.run_tool(*arguments, text=text, token=token)
@@ -72,7 +72,7 @@
         if token:
             self.assertNotIn(token, result.output + str(self.logged))
 
-    def test_a_lost_race_shows_both_changes(self) -> None:
+    def test_a_write_conflict_shows_both_changes(self) -> None:
         self.ok("settings", "put", "t/services/a", "-", text=_SERVICE)
         arguments = ("settings", "put", "t/services/a", "-", "--revision", "0")
         result = self.run_tool(*arguments, text="floor = 9")
@@ -80,7 +80,7 @@
         self.assertIn("floor = 9", result.stderr)
         self.assertIn(_SERVICE, result.stderr)
 
-    def test_an_outage_refuses_writes_and_still_shows_what_is_in_force(self) -> None:
+    def test_a_store_outage_refuses_writes_and_still_shows_settings_in_force(self) -> None:
         self.ok("settings", "put", "t/services/a", "-", text=_SERVICE)
         self.server.store.out = True
         self.assertEqual(_SERVICE, self.ok("settings", "get", "t/services/a"))
@@ -88,7 +88,7 @@
         self.assertEqual(1, result.exit_code)
         self.assertIn("settings in force stay", result.stderr)
 
-    def test_sending_a_change_again_counts_once(self) -> None:
+    def test_a_retried_change_is_applied_once(self) -> None:
         arguments = ("settings", "put", "t/services/a", "-", "--change-id", "change-one")
         for _ in range(2):
             self.ok(*arguments, "--revision", "0", text=_SERVICE)
@@ -106,7 +106,7 @@
             "help_of_a_command": (("settings", "put", "--help"), 0),
             "no_url": (("routes",), 2),
             "unknown_command": (("nothing",), 2),
-            "nobody_there": (("--operator-url", "http://127.0.0.1:9", "routes"), 3),
+            "unreachable_instance": (("--operator-url", "http://127.0.0.1:9", "routes"), 3),
         }
     )
     def test_exit_codes(self, row: tuple[tuple[str, ...], int]) -> None:
--- a/src/egretrail/cli/tests/test_gateway.py
+++ b/src/egretrail/cli/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's commands, on files."""
+"""Tests of the ``egretrail gateway`` commands that read files."""
 
 import json
 import tempfile
--- a/src/egretrail/cli/tests/test_gateway_show.py
+++ b/src/egretrail/cli/tests/test_gateway_show.py
@@ -1,4 +1,4 @@
-"""Commands that read gateways' metrics, against small servers of such texts."""
+"""Tests of the commands that read gateways' metrics, against small HTTP servers."""
 
 import http.server
 import json
@@ -8,11 +8,11 @@
 from click.testing import CliRunner
 
 from egretrail.cli import main
-from egretrail.cli._gateway_figures import parse_figures, route_burns
+from egretrail.cli._gateway_metrics import compute_burn_rates, parse_metrics
 from egretrail.gateway import GatewayMetrics
 from egretrail.testing import EgretrailTestCase, cases
 
-#: Answers by route and outcome.
+#: Response counts by route and outcome.
 Answers = dict[tuple[str, str], int]
 
 
@@ -27,8 +27,8 @@
     return metrics.text(gauges).decode()
 
 
-class _Server:
-    """Serves one text on a loopback port while it is entered."""
+class _MetricsServer:
+    """Context manager that serves one text on a loopback port."""
 
     def __init__(self, text: str) -> None:
         body = text.encode()
@@ -46,7 +46,7 @@
         self._server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self.address = f"127.0.0.1:{self._server.server_address[1]}"
 
-    def __enter__(self) -> "_Server":
+    def __enter__(self) -> "_MetricsServer":
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
         return self
 
@@ -55,15 +55,15 @@
         self._server.server_close()
 
 
-class FiguresTest(EgretrailTestCase):
-    def test_what_a_gateway_writes_is_read(self) -> None:
-        figures = parse_figures("a:1", _text({("r", "served"): 4, ("r", "failed"): 1}))
-        self.assertEqual({("r", "served"): 4, ("r", "failed"): 1}, dict(figures.answers))
-        self.assertEqual({"no_time": 1}, dict(figures.refusals))
-        self.assertEqual((3.0, 7.0), (figures.values["members"], figures.values["config_version"]))
+class ParseMetricsTest(EgretrailTestCase):
+    def test_metrics_of_a_gateway_are_parsed(self) -> None:
+        reading = parse_metrics("a:1", _text({("r", "served"): 4, ("r", "failed"): 1}))
+        self.assertEqual({("r", "served"): 4, ("r", "failed"): 1}, dict(reading.answers))
+        self.assertEqual({"no_time": 1}, dict(reading.refusals))
+        self.assertEqual((3.0, 7.0), (reading.values["members"], reading.values["config_version"]))
 
-    def test_another_text_is_an_error(self) -> None:
-        self.assertRaises(ValueError, parse_figures, "a:1", "<html>no metrics</html>")
+    def test_any_other_text_is_an_error(self) -> None:
+        self.assertRaises(ValueError, parse_metrics, "a:1", "<html>no metrics</html>")
 
 
 class RouteBurnTest(EgretrailTestCase):
@@ -80,7 +80,7 @@
                 {("r", "served"): 100, ("r", "failed"): 50},
                 (10, 10, 0.0),
             ),
-            "clients that left are not asked for": (
+            "client disconnects are not counted": (
                 {("r", "served"): 10, ("r", "client_left"): 90},
                 {},
                 (10, 10, 0.0),
@@ -89,15 +89,15 @@
     )
     def test_burn(self, case: tuple[Answers, Answers, tuple[int, int, float]]) -> None:
         now, before, expected = case
-        earlier = [parse_figures("a:1", _text(before))] if before else []
-        [burn] = route_burns([parse_figures("a:1", _text(now))], earlier, 0.99)
+        earlier = [parse_metrics("a:1", _text(before))] if before else []
+        [burn] = compute_burn_rates([parse_metrics("a:1", _text(now))], earlier, 0.99)
         self.assertEqual(expected[:2], (burn.asked, burn.served))
         self.assertAlmostEqual(expected[2], burn.rate)
 
-    def test_gateways_are_summed_and_the_worst_route_comes_first(self) -> None:
+    def test_gateways_are_aggregated_and_the_highest_burn_rate_comes_first(self) -> None:
         texts = [{("good", "served"): 5, ("bad", "refused"): 1}, {("bad", "served"): 1}]
-        figures = [parse_figures(f"a:{n}", _text(one)) for n, one in enumerate(texts)]
-        burns = route_burns(figures, [], 0.9)
+        reading = [parse_metrics(f"a:{n}", _text(one)) for n, one in enumerate(texts)]
+        burns = compute_burn_rates(reading, [], 0.9)
         self.assertEqual(["bad", "good"], [burn.route for burn in burns])
         self.assertEqual(
             (2, 1, {"refused": 1}), (burns[0].asked, burns[0].served, burns[0].unserved)
@@ -106,7 +106,7 @@
 
 class ShowCommandTest(EgretrailTestCase):
     def _run(self, texts: Sequence[str], *arguments: str) -> tuple[int, str]:
-        servers = [self.enterContext(_Server(text)) for text in texts]
+        servers = [self.enterContext(_MetricsServer(text)) for text in texts]
         command, *options = arguments
         addresses = [server.address for server in servers]
         result = CliRunner().invoke(main, ["gateway", command, *addresses, *options])
--- a/src/egretrail/diagnosis/__init__.py
+++ b/src/egretrail/diagnosis/__init__.py
@@ -1,19 +1,19 @@
-"""Explains single requests and counts losses from the gateways' logs; reads only text lines."""
+"""Explains single requests and counts lost requests from the text lines of gateways' logs."""
 
-from egretrail.diagnosis._cause import Cause, Kind, find_cause
+from egretrail.diagnosis._cause import Cause, CauseKind, find_cause
 from egretrail.diagnosis._lines import LogLine, parse_lines
 from egretrail.diagnosis._losses import LossReport, LostRequest, find_losses
-from egretrail.diagnosis._story import Story, tell_story
+from egretrail.diagnosis._timeline import RequestTimeline, build_timeline
 
 __all__ = [
     "Cause",
-    "Kind",
+    "CauseKind",
     "LogLine",
     "LossReport",
     "LostRequest",
-    "Story",
+    "RequestTimeline",
+    "build_timeline",
     "find_cause",
     "find_losses",
     "parse_lines",
-    "tell_story",
 ]
--- a/src/egretrail/diagnosis/_cause.py
+++ b/src/egretrail/diagnosis/_cause.py
@@ -1,14 +1,14 @@
-"""Says why a request ended as it did."""
+"""Determines the cause of a request's outcome from its log events."""
 
 import enum
 from dataclasses import dataclass
 
 from egretrail.diagnosis._lines import LogLine
-from egretrail.diagnosis._story import Story
+from egretrail.diagnosis._timeline import RequestTimeline
 
 
-class Kind(enum.Enum):
-    """The kinds of ends that can be told apart."""
+class CauseKind(enum.Enum):
+    """The kinds of request outcome that the logs distinguish; the values are printed."""
 
     UNKNOWN = "unknown"
     SERVED = "served"
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Cause:
-    """Why a request ended as it did."""
+    """Why a request had its outcome."""
 
-    #: The kind of end.
-    kind: Kind
+    #: The kind of outcome.
+    kind: CauseKind
     #: One sentence for the engineer on call.
     text: str
 
 
-_REASONS = {
+_REFUSAL_TEXTS = {
     "no_upstream": "no upstream of service {service} was listed as taking work",
     "all_suspect": "every upstream of service {service} was doubted or had been tried",
     "no_time": (
@@ -64,70 +64,78 @@
 }
 
 
-def find_cause(story: Story) -> Cause:
-    """Return why the request of a story ended as it did."""
-    last = {line.event: line for line in story.events}
+def find_cause(timeline: RequestTimeline) -> Cause:
+    """Return the cause of the outcome of a timeline's request."""
+    last = {line.event: line for line in timeline.events}
     if "refused" in last:
-        return _refused(last["refused"])
+        return _refusal_cause(last["refused"])
     if "no_route" in last:
         fields = last["no_route"].fields
         text = "no route of configuration {config_version} takes {path} on {host}"
-        return Cause(Kind.NO_ROUTE, text.format_map(_Known(fields)))
+        return Cause(CauseKind.NO_ROUTE, text.format_map(_FieldsOrUnknown(fields)))
     if "key_refused" in last:
-        return _without_account(last["key_refused"])
+        return _key_refusal_cause(last["key_refused"])
     if "answered" in last:
-        return _answered(story, last["answered"])
-    if story.events:
-        return Cause(Kind.UNKNOWN, "the logs end before its answer")
-    return Cause(Kind.UNKNOWN, "no log line names it")
+        return _outcome_cause(timeline, last["answered"])
+    if timeline.events:
+        return Cause(CauseKind.UNKNOWN, "the logs end before its answer")
+    return Cause(CauseKind.UNKNOWN, "no log line names it")
 
 
-def _refused(line: LogLine) -> Cause:
+def _refusal_cause(line: LogLine) -> Cause:
     reason = line.fields.get("reason", "")
-    text = _REASONS.get(reason, reason).format_map(_Known(line.fields))
-    return Cause(Kind.REFUSED, f"refused without having run: {text}")
+    text = _REFUSAL_TEXTS.get(reason, reason).format_map(_FieldsOrUnknown(line.fields))
+    return Cause(CauseKind.REFUSED, f"refused without having run: {text}")
 
 
-def _without_account(line: LogLine) -> Cause:
+def _key_refusal_cause(line: LogLine) -> Cause:
     if line.fields.get("reason") == "missing":
         text = "it carries no API key, or more than one, and route {route} needs one"
     else:
         text = "no account of configuration {config_version} holds its API key"
-    return Cause(Kind.NO_ACCOUNT, text.format_map(_Known(line.fields)))
+    return Cause(CauseKind.NO_ACCOUNT, text.format_map(_FieldsOrUnknown(line.fields)))
 
 
-def _answered(story: Story, line: LogLine) -> Cause:
+def _outcome_cause(timeline: RequestTimeline, line: LogLine) -> Cause:
     outcome = line.fields.get("outcome", "")
-    failures = [event for event in story.events if event.event == "attempt_failed"]
-    attempts = {e.fields.get("upstream"): e for e in story.events if e.event == "attempt"}
+    failures = [event for event in timeline.events if event.event == "attempt_failed"]
+    attempts = {e.fields.get("upstream"): e for e in timeline.events if e.event == "attempt"}
     upstream = failures[-1].fields.get("upstream", "") if failures else next(iter(attempts), "")
     match outcome:
         case "served":
             text = f"served after {line.fields.get('attempts')} attempts"
-            return Cause(Kind.SERVED, text)
+            return Cause(CauseKind.SERVED, text)
         case "failed":
-            return _failed(story, upstream or "", attempts.get(upstream))
+            return _failure_cause(timeline, upstream or "", attempts.get(upstream))
         case "broken":
             text = f"the connection to upstream {upstream} was lost after the request was sent"
-            return Cause(Kind.CONNECTION_LOST, f"{text}: {line.fields.get('cause')}")
+            return Cause(CauseKind.CONNECTION_LOST, f"{text}: {line.fields.get('cause')}")
         case "timeout":
-            return Cause(Kind.TIMEOUT, f"upstream {upstream} gave no answer in the route's time")
+            return Cause(
+                CauseKind.TIMEOUT, f"upstream {upstream} gave no answer in the route's time"
+            )
         case "client_left":
-            return Cause(Kind.CLIENT_LEFT, "the client left before its answer")
-    return Cause(Kind.UNKNOWN, f"outcome {outcome}")
+            return Cause(CauseKind.CLIENT_LEFT, "the client left before its answer")
+    return Cause(CauseKind.UNKNOWN, f"outcome {outcome}")
 
 
-def _failed(story: Story, upstream: str, attempt: LogLine | None) -> Cause:
+def _failure_cause(timeline: RequestTimeline, upstream: str, attempt: LogLine | None) -> Cause:
     if attempt is not None and attempt.fields.get("trial") == "True":
         text = f"it was the trial of upstream {upstream}, which was doubted, and failed there"
-        return Cause(Kind.TRIAL_FAILED, text)
-    doubts = [line for line in story.background if line.fields.get("upstream") == upstream]
-    known = f"; last word before: {doubts[-1]}" if doubts else "; nothing was held against it"
-    return Cause(Kind.UPSTREAM_FAILED, f"upstream {upstream} failed the request{known}")
-
-
-class _Known(dict[str, str]):
-    """Fields for a sentence; one that the log does not have is shown as unknown."""
+        return Cause(CauseKind.TRIAL_FAILED, text)
+    health_changes = [
+        line for line in timeline.prior_health_events if line.fields.get("upstream") == upstream
+    ]
+    history = (
+        f"; last word before: {health_changes[-1]}"
+        if health_changes
+        else "; nothing was held against it"
+    )
+    return Cause(CauseKind.UPSTREAM_FAILED, f"upstream {upstream} failed the request{history}")
+
+
+class _FieldsOrUnknown(dict[str, str]):
+    """Log fields for a format string; a field that the log lacks is shown as ``unknown``."""
 
     def __missing__(self, key: str) -> str:
         return "unknown"
--- a/src/egretrail/diagnosis/_lines.py
+++ b/src/egretrail/diagnosis/_lines.py
@@ -1,4 +1,4 @@
-"""Reads log lines of key=value pairs."""
+"""Parses log lines of ``key=value`` pairs."""
 
 import re
 from collections.abc import Iterable, Iterator, Mapping
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One event of one instance."""
+    """One log event of one instance."""
 
-    #: The wall clock of the instance.
+    #: The time of the event by the instance's wall clock, in seconds.
     time_s: float
-    #: The instance that wrote it.
+    #: The instance that logged the event.
     instance: str
     #: The event's name.
     event: str
@@ -22,17 +22,17 @@
     fields: Mapping[str, str]
 
     def __str__(self) -> str:
-        shown = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.time_s:.3f} {self.instance} {self.event} {shown}".rstrip()
+        pairs = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.time_s:.3f} {self.instance} {self.event} {pairs}".rstrip()
 
 
 def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the events of a log; lines of another form are skipped."""
+    """Yield the events of a log; lines in any other format are skipped."""
     for line in lines:
         start = line.find("time=")
         if start < 0:
             continue
-        fields = {key: _plain(value) for key, value in _PAIR.findall(line[start:])}
+        fields = {key: _unquote(value) for key, value in _PAIR.findall(line[start:])}
         try:
             time_s = float(fields.pop("time"))
             yield LogLine(time_s, fields.pop("instance"), fields.pop("event"), fields)
@@ -40,7 +40,7 @@
             continue
 
 
-def _plain(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     return _ESCAPED.sub(lambda match: "\n" if match[1] == "n" else match[1], value[1:-1])
--- a/src/egretrail/diagnosis/_losses.py
+++ b/src/egretrail/diagnosis/_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost or late, from the logs of any number of gateways."""
+"""Counts lost and late requests by cause, from the logs of any number of gateways."""
 
 import enum
 from collections import Counter
@@ -7,40 +7,41 @@
 
 from egretrail.diagnosis._lines import LogLine
 
-#: A change of an upstream's standing belongs to a failure on the same instance within this time.
-_SAME_MOMENT_S = 0.0015
+#: A change of an upstream's health and a failure on the same instance within this time belong
+#: together.
+_SAME_EVENT_S = 0.0015
 
 
-class Loss(enum.Enum):
-    """Why a request was lost or late. The texts are what the command prints."""
+class LossReason(enum.Enum):
+    """Why a request was lost or late; the values are the texts that the command prints."""
 
-    #: Its failure is the one by which the fleet found an upstream failing.
+    #: The failure by which this instance began to suspect the upstream.
     FIRST_FAILURE = "failed: first failure of an upstream"
-    #: It tried an upstream that was doubted.
+    #: The request was a trial of a suspected upstream.
     TRIAL = "failed: trial of a doubted upstream"
-    #: It was on its way when its upstream came to be doubted.
-    UNDER_WAY = "failed: on its way to an upstream that was being doubted"
-    #: An upstream that nothing was held against, before or after.
-    SINGLE = "failed: single failure of a sound upstream"
-    #: The connection ended after the request was sent.
-    BROKEN = "broken: connection lost"
-    #: No answer in the time that the route or the client gives.
+    #: The request was in flight when its upstream became suspect.
+    IN_FLIGHT = "failed: on its way to an upstream that was being doubted"
+    #: A failure of an upstream that was not suspect before or after.
+    ISOLATED_FAILURE = "failed: single failure of a sound upstream"
+    #: The connection was lost after the request was sent.
+    CONNECTION_LOST = "broken: connection lost"
+    #: No response within the time-out of the route or the client.
     TIMEOUT = "timeout"
     #: Refused by this gateway before any attempt.
     REFUSED = "refused: {reason}"
-    #: Refused after upstreams refused it without work.
-    REFUSED_AGAIN = "refused: {reason} after {attempts} attempts"
-    #: Served after its objective, first sent to an upstream with free slots.
-    LATE_WORK = "late: long work"
-    #: Served after its objective, first sent to an upstream whose slots were taken.
-    LATE_WAIT = "late: waited at the upstream"
-    #: Served after its objective, by a second attempt.
-    LATE_AGAIN = "late: served by a second attempt"
-    #: Served after its objective, sent only after a wait at this instance.
-    LATE_START = "late: waited for this instance"
-    #: The client left.
+    #: Refused by this gateway after upstreams had rejected it without executing it.
+    REFUSED_AFTER_ATTEMPTS = "refused: {reason} after {attempts} attempts"
+    #: Served after its latency objective; the upstream had free slots, so the work took long.
+    LATE_PROCESSING = "late: long work"
+    #: Served after its latency objective; all slots of the upstream were in use when it was sent.
+    LATE_UPSTREAM_QUEUE = "late: waited at the upstream"
+    #: Served after its latency objective, by a retry.
+    LATE_RETRY = "late: served by a second attempt"
+    #: Served after its latency objective; most of the time passed at this instance before sending.
+    LATE_INSTANCE_QUEUE = "late: waited for this instance"
+    #: The client disconnected.
     CLIENT_LEFT = "client left"
-    #: The log ends before its answer.
+    #: The log has no outcome of the request.
     UNANSWERED = "no answer logged"
 
 
@@ -52,21 +53,21 @@
     attempt_id: str
     #: When its last event was logged.
     time_s: float
-    #: Its route; empty where it was refused before one was found.
+    #: Its route; empty if it was refused before a route was found.
     route: str
-    #: Why, as printed.
+    #: The reason of the loss, as printed.
     reason: str
-    #: The upstream of its last attempt; empty for none.
+    #: The upstream of its last attempt; empty without an attempt.
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class LossReport:
-    """What became of the requests of some logs."""
+    """Counts of all requests in the logs, and the lost or late ones."""
 
     #: All requests by route.
     requests: Mapping[str, int]
-    #: Those that were lost or late.
+    #: The requests that were lost or late.
     lost: Sequence[LostRequest]
 
     def by_reason(self) -> Mapping[tuple[str, str], int]:
@@ -86,8 +87,8 @@
 
 
 @dataclass(slots=True)
-class _Trace:
-    """The events of one client attempt."""
+class _AttemptEvents:
+    """The log events of one client attempt."""
 
     attempts: list[LogLine] = field(default_factory=list)
     failures: list[LogLine] = field(default_factory=list)
@@ -96,109 +97,113 @@
 
     @property
     def last(self) -> LogLine | None:
-        """The event that ended it, or the last one known."""
+        """The final event of the request, or its last attempt if the log has no final event."""
         return self.answered or self.refused or (self.attempts[-1] if self.attempts else None)
 
 
 def find_losses(lines: Iterable[LogLine]) -> LossReport:
-    """Return what became of all requests that the lines name."""
-    traces: dict[str, _Trace] = {}
-    doubts: dict[tuple[str, str], list[LogLine]] = {}
+    """Return counts of all requests in the log lines, and the lost or late ones."""
+    attempts_by_id: dict[str, _AttemptEvents] = {}
+    health_changes: dict[tuple[str, str], list[LogLine]] = {}
     for line in lines:
         if line.event == "upstream_standing":
             key = (line.instance, line.fields.get("upstream", ""))
-            doubts.setdefault(key, []).append(line)
+            health_changes.setdefault(key, []).append(line)
         elif "id" in line.fields:
-            _add(traces.setdefault(line.fields["id"], _Trace()), line)
+            _add_event(attempts_by_id.setdefault(line.fields["id"], _AttemptEvents()), line)
     requests: Counter[str] = Counter()
     lost = []
-    for attempt_id, trace in traces.items():
-        last = trace.last
+    for attempt_id, events in attempts_by_id.items():
+        last = events.last
         if last is None:
             continue
-        route = _route(trace)
+        route = _find_route(events)
         requests[route] += 1
-        reason = _reason(trace, doubts)
+        reason = _loss_reason(events, health_changes)
         if reason is not None:
-            upstream = trace.attempts[-1].fields.get("upstream", "") if trace.attempts else ""
+            upstream = events.attempts[-1].fields.get("upstream", "") if events.attempts else ""
             lost.append(LostRequest(attempt_id, last.time_s, route, reason, upstream))
     return LossReport(requests, lost)
 
 
-def _add(trace: _Trace, line: LogLine) -> None:
+def _add_event(events: _AttemptEvents, line: LogLine) -> None:
     match line.event:
         case "attempt":
-            trace.attempts.append(line)
+            events.attempts.append(line)
         case "attempt_failed":
-            trace.failures.append(line)
+            events.failures.append(line)
         case "refused":
-            trace.refused = line
+            events.refused = line
         case "answered":
-            trace.answered = line
+            events.answered = line
 
 
-def _route(trace: _Trace) -> str:
-    named = [*trace.attempts, *([trace.refused] if trace.refused else [])]
+def _find_route(events: _AttemptEvents) -> str:
+    named = [*events.attempts, *([events.refused] if events.refused else [])]
     return next((line.fields["route"] for line in named if line.fields.get("route")), "")
 
 
-def _reason(trace: _Trace, doubts: Mapping[tuple[str, str], Sequence[LogLine]]) -> str | None:
-    """Return why a request was lost or late, None where it was served in time."""
-    if trace.refused is not None:
-        fields = trace.refused.fields
+def _loss_reason(
+    events: _AttemptEvents, health_changes: Mapping[tuple[str, str], Sequence[LogLine]]
+) -> str | None:
+    """Return why a request was lost or late; None if it was served in time."""
+    if events.refused is not None:
+        fields = events.refused.fields
         attempts = fields.get("attempts", "0")
-        kind = Loss.REFUSED if attempts == "0" else Loss.REFUSED_AGAIN
+        kind = LossReason.REFUSED if attempts == "0" else LossReason.REFUSED_AFTER_ATTEMPTS
         return kind.value.format(reason=fields.get("reason", "unknown"), attempts=attempts)
-    if trace.answered is None:
-        return Loss.UNANSWERED.value
-    match trace.answered.fields.get("outcome"):
+    if events.answered is None:
+        return LossReason.UNANSWERED.value
+    match events.answered.fields.get("outcome"):
         case "served":
-            return _late(trace)
+            return _late_reason(events)
         case "failed":
-            return _failed(trace, doubts).value
+            return _failure_reason(events, health_changes).value
         case "broken":
-            return Loss.BROKEN.value
+            return LossReason.CONNECTION_LOST.value
         case "timeout":
-            return Loss.TIMEOUT.value
+            return LossReason.TIMEOUT.value
         case "client_left":
-            return Loss.CLIENT_LEFT.value
+            return LossReason.CLIENT_LEFT.value
     return None
 
 
-def _late(trace: _Trace) -> str | None:
-    assert trace.answered is not None
-    duration_s = _number(trace.answered, "duration_s")
-    objective_s = _number(trace.answered, "objective_s")
+def _late_reason(events: _AttemptEvents) -> str | None:
+    assert events.answered is not None
+    duration_s = _numeric_field(events.answered, "duration_s")
+    objective_s = _numeric_field(events.answered, "objective_s")
     if objective_s <= 0.0 or duration_s <= objective_s:
         return None
-    if len(trace.attempts) > 1:
-        return Loss.LATE_AGAIN.value
-    first = trace.attempts[0] if trace.attempts else None
+    if len(events.attempts) > 1:
+        return LossReason.LATE_RETRY.value
+    first = events.attempts[0] if events.attempts else None
     if first is None:
-        return Loss.LATE_WORK.value
-    if trace.answered.time_s - first.time_s < duration_s / 2:
-        return Loss.LATE_START.value
-    waits = _number(first, "in_flight") >= max(_number(first, "slots"), 1.0)
-    return Loss.LATE_WAIT.value if waits else Loss.LATE_WORK.value
+        return LossReason.LATE_PROCESSING.value
+    if events.answered.time_s - first.time_s < duration_s / 2:
+        return LossReason.LATE_INSTANCE_QUEUE.value
+    slots_full = _numeric_field(first, "in_flight") >= max(_numeric_field(first, "slots"), 1.0)
+    return LossReason.LATE_UPSTREAM_QUEUE.value if slots_full else LossReason.LATE_PROCESSING.value
 
 
-def _failed(trace: _Trace, doubts: Mapping[tuple[str, str], Sequence[LogLine]]) -> Loss:
-    failure = trace.failures[-1] if trace.failures else None
+def _failure_reason(
+    events: _AttemptEvents, health_changes: Mapping[tuple[str, str], Sequence[LogLine]]
+) -> LossReason:
+    failure = events.failures[-1] if events.failures else None
     if failure is None:
-        return Loss.SINGLE
+        return LossReason.ISOLATED_FAILURE
     upstream = failure.fields.get("upstream", "")
-    attempt = next((a for a in trace.attempts if a.fields.get("upstream") == upstream), None)
+    attempt = next((a for a in events.attempts if a.fields.get("upstream") == upstream), None)
     if attempt is not None and attempt.fields.get("trial") == "True":
-        return Loss.TRIAL
-    changes = doubts.get((failure.instance, upstream), ())
-    if any(_begins_doubt(change) and _at_once(change, failure) for change in changes):
-        return Loss.FIRST_FAILURE
+        return LossReason.TRIAL
+    changes = health_changes.get((failure.instance, upstream), ())
+    if any(_starts_suspicion(change) and _is_same_event(change, failure) for change in changes):
+        return LossReason.FIRST_FAILURE
     before = [change for change in changes if change.time_s < failure.time_s]
-    doubted = bool(before) and before[-1].fields.get("after") in ("suspect", "probation")
-    return Loss.UNDER_WAY if doubted else Loss.SINGLE
+    was_suspect = bool(before) and before[-1].fields.get("after") in ("suspect", "probation")
+    return LossReason.IN_FLIGHT if was_suspect else LossReason.ISOLATED_FAILURE
 
 
-def _begins_doubt(change: LogLine) -> bool:
+def _starts_suspicion(change: LogLine) -> bool:
     return change.fields.get("after") == "suspect" and change.fields.get("before") in (
         "good",
         "doubted",
@@ -206,12 +211,12 @@
     )
 
 
-def _at_once(change: LogLine, failure: LogLine) -> bool:
-    return abs(change.time_s - failure.time_s) <= _SAME_MOMENT_S
+def _is_same_event(change: LogLine, failure: LogLine) -> bool:
+    return abs(change.time_s - failure.time_s) <= _SAME_EVENT_S
 
 
-def _number(line: LogLine, name: str) -> float:
-    """Return a field's number; 0 where the line has none, as lines of earlier programs."""
+def _numeric_field(line: LogLine, name: str) -> float:
+    """Return a field as a number; 0 if the line lacks it, as lines of earlier versions do."""
     try:
         return float(line.fields.get(name, "0"))
     except ValueError:
--- a/src/egretrail/diagnosis/tests/test_diagnosis.py
+++ b/src/egretrail/diagnosis/tests/test_diagnosis.py
@@ -1,6 +1,6 @@
-"""From a client attempt's id to why it ended as it did."""
+"""Tests of the cause that is found for a client attempt's id."""
 
-from egretrail.diagnosis import Kind, find_cause, parse_lines, tell_story
+from egretrail.diagnosis import CauseKind, build_timeline, find_cause, parse_lines
 from egretrail.testing import EgretrailTestCase, cases
 
 _ATTEMPT = (
@@ -15,7 +15,7 @@
     "time=10.104 instance=n1 event=answered id=a1 outcome={outcome} status=500 attempts=1 "
     'unreachable=0 duration_s=0.004 left_s=4.9 config_version=7 cause="{cause}"'
 )
-_DOUBT = (
+_SUSPECTED = (
     "time=4.0 instance=n1 event=upstream_standing upstream=u1 service=s before=good after=suspect "
     "outcome=failed observer=10.0.0.9 duration_s=0.003"
 )
@@ -28,23 +28,23 @@
 class CauseTest(EgretrailTestCase):
     @cases(
         {
-            "an upstream that nobody doubted": (
+            "an upstream that was not suspect": (
                 [
                     _ATTEMPT.format(trial=False),
                     _FAILED,
                     _ANSWERED.format(outcome="failed", cause=""),
                 ],
-                Kind.UPSTREAM_FAILED,
+                CauseKind.UPSTREAM_FAILED,
                 "nothing was held against it",
             ),
             "a trial": (
                 [
-                    _DOUBT,
+                    _SUSPECTED,
                     _ATTEMPT.format(trial=True),
                     _FAILED,
                     _ANSWERED.format(outcome="failed", cause=""),
                 ],
-                Kind.TRIAL_FAILED,
+                CauseKind.TRIAL_FAILED,
                 "u1, which was doubted",
             ),
             "a lost connection": (
@@ -53,87 +53,91 @@
                     _FAILED.replace("500", "0"),
                     _ANSWERED.format(outcome="broken", cause="reset by peer"),
                 ],
-                Kind.CONNECTION_LOST,
+                CauseKind.CONNECTION_LOST,
                 "reset by peer",
             ),
             "no answer in time": (
                 [_ATTEMPT.format(trial=False), _ANSWERED.format(outcome="timeout", cause="")],
-                Kind.TIMEOUT,
+                CauseKind.TIMEOUT,
                 "u1 gave no answer",
             ),
             "an overload": (
                 [_REFUSED.format(reason="no_time")],
-                Kind.REFUSED,
+                CauseKind.REFUSED,
                 "1.5 s for a slot",
             ),
-            "nobody to send it to": (
+            "no upstream to send it to": (
                 [_REFUSED.format(reason="all_suspect")],
-                Kind.REFUSED,
+                CauseKind.REFUSED,
                 "every upstream of service s",
             ),
             "limits that are used up": (
                 [_REFUSED.format(reason="limited")],
-                Kind.REFUSED,
+                CauseKind.REFUSED,
                 "every upstream of service s had named a limit",
             ),
             "upstreams that refused": (
                 [_REFUSED.format(reason="not_run")],
-                Kind.REFUSED,
+                CauseKind.REFUSED,
                 "(2 sent)",
             ),
-            "keys that may have ended": (
+            "keys that are not confirmed as in force": (
                 ["time=1 instance=n1 event=refused id=a1 reason=key_unproved proof_age_s=4.8"],
-                Kind.REFUSED,
+                CauseKind.REFUSED,
                 "had not heard for 4.8 s",
             ),
             "a stopping instance": (
                 ["time=1 instance=n1 event=refused id=a1 route= reason=stopping"],
-                Kind.REFUSED,
+                CauseKind.REFUSED,
                 "about to stop",
             ),
-            "a key of nobody": (
+            "an unknown key": (
                 ["time=1 instance=n1 event=key_refused id=a1 reason=unknown config_version=7"],
-                Kind.NO_ACCOUNT,
+                CauseKind.NO_ACCOUNT,
                 "no account of configuration 7 holds its API key",
             ),
             "no key": (
                 ["time=1 instance=n1 event=key_refused id=a1 route=r reason=missing"],
-                Kind.NO_ACCOUNT,
+                CauseKind.NO_ACCOUNT,
                 "route r needs one",
             ),
             "no route": (
                 ["time=1 instance=n1 event=no_route id=a1 host=h path=/x/ config_version=7"],
-                Kind.NO_ROUTE,
+                CauseKind.NO_ROUTE,
                 "configuration 7 takes /x/ on h",
             ),
             "a client that left": (
                 [_ATTEMPT.format(trial=False), _ANSWERED.format(outcome="client_left", cause="")],
-                Kind.CLIENT_LEFT,
+                CauseKind.CLIENT_LEFT,
                 "left",
             ),
-            "logs that end": ([_ATTEMPT.format(trial=False)], Kind.UNKNOWN, "end before"),
-            "another attempt's logs": ([_FAILED.replace("a1", "a2")], Kind.UNKNOWN, "no log line"),
+            "logs that end": ([_ATTEMPT.format(trial=False)], CauseKind.UNKNOWN, "end before"),
+            "another attempt's logs": (
+                [_FAILED.replace("a1", "a2")],
+                CauseKind.UNKNOWN,
+                "no log line",
+            ),
         }
     )
-    def test_cause(self, case: tuple[list[str], Kind, str]) -> None:
+    def test_cause(self, case: tuple[list[str], CauseKind, str]) -> None:
         lines, kind, words = case
-        cause = find_cause(tell_story("a1", parse_lines(lines)))
+        cause = find_cause(build_timeline("a1", parse_lines(lines)))
         self.assertIs(kind, cause.kind)
         self.assertIn(words, cause.text)
 
 
-class StoryTest(EgretrailTestCase):
-    def test_logs_of_several_instances_are_merged_with_what_was_believed(self) -> None:
+class TimelineTest(EgretrailTestCase):
+    def test_logs_of_several_instances_are_merged_with_health_events(self) -> None:
         logs = [
             _ANSWERED.format(outcome="failed", cause=""),
             "not a log line",
             "  38.1 front-1 " + _ATTEMPT.format(trial=False),
-            _DOUBT,
-            _DOUBT.replace("n1", "n2"),
-            _DOUBT.replace("u1", "u9"),
+            _SUSPECTED,
+            _SUSPECTED.replace("n1", "n2"),
+            _SUSPECTED.replace("u1", "u9"),
         ]
-        story = tell_story("a1", parse_lines(logs))
-        names = [(line.instance, line.event) for line in story.lines()]
+        timeline = build_timeline("a1", parse_lines(logs))
+        names = [(line.instance, line.event) for line in timeline.merged_lines()]
         self.assertEqual(
             [("n1", "upstream_standing"), ("n1", "attempt"), ("n1", "answered")], names
         )
--- a/src/egretrail/diagnosis/tests/test_losses.py
+++ b/src/egretrail/diagnosis/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost or late, counted from lines as the gateways write them."""
+"""Tests of the counts of lost and late requests, on log lines as gateways write them."""
 
 from collections.abc import Sequence
 
@@ -17,7 +17,7 @@
     "time={time} instance=n1 event=answered id=a1 outcome={outcome} status=500 attempts=1 "
     "unreachable=0 duration_s={duration_s} objective_s=0.6 left_s=0.4 config_version=7 cause=x"
 )
-_STANDING = (
+_HEALTH_CHANGE = (
     "time={time} instance={instance} event=upstream_standing upstream=u1 service=s before={before} "
     "after={after} outcome=failed observer=10.0.0.9 duration_s=0.003"
 )
@@ -35,8 +35,8 @@
     return _ANSWERED.format(outcome=outcome, duration_s=duration_s, time=time)
 
 
-def _standing(time: float, before: str, after: str, instance: str = "n1") -> str:
-    return _STANDING.format(time=time, before=before, after=after, instance=instance)
+def _health_change(time: float, before: str, after: str, instance: str = "n1") -> str:
+    return _HEALTH_CHANGE.format(time=time, before=before, after=after, instance=instance)
 
 
 class ReasonTest(EgretrailTestCase):
@@ -56,27 +56,37 @@
                 [_attempt(), _answered("served", 0.8, 10.3)],
                 "late: waited for this instance",
             ),
-            "the failure that began a doubt": (
-                [_attempt(), _standing(10.1031, "good", "suspect"), _FAILED, _answered("failed")],
+            "the failure that began a suspicion": (
+                [
+                    _attempt(),
+                    _health_change(10.1031, "good", "suspect"),
+                    _FAILED,
+                    _answered("failed"),
+                ],
                 "failed: first failure of an upstream",
             ),
-            "a doubt of another instance": (
+            "a suspicion of another instance": (
                 [
                     _attempt(),
-                    _standing(10.1031, "good", "suspect", "n2"),
+                    _health_change(10.1031, "good", "suspect", "n2"),
                     _FAILED,
                     _answered("failed"),
                 ],
                 "failed: single failure of a sound upstream",
             ),
-            "on its way": (
-                [_attempt(), _standing(10.101, "good", "suspect"), _FAILED, _answered("failed")],
+            "in flight": (
+                [
+                    _attempt(),
+                    _health_change(10.101, "good", "suspect"),
+                    _FAILED,
+                    _answered("failed"),
+                ],
                 "failed: on its way to an upstream that was being doubted",
             ),
             "cleared before": (
                 [
-                    _standing(4.0, "good", "suspect"),
-                    _standing(8.0, "probation", "good"),
+                    _health_change(4.0, "good", "suspect"),
+                    _health_change(8.0, "probation", "good"),
                     _attempt(),
                     _FAILED,
                     _answered("failed"),
@@ -99,7 +109,7 @@
             "out of time": ([_attempt(), _answered("timeout")], "timeout"),
             "the client left": ([_attempt(), _answered("client_left")], "client left"),
             "the process died": ([_attempt()], "no answer logged"),
-            "a line of an earlier program": (
+            "a line of an earlier version": (
                 [_attempt(), _answered("served", 0.7).replace("objective_s=0.6 ", "")],
                 None,
             ),
--- a/src/egretrail/start.py
+++ b/src/egretrail/start.py
@@ -5,8 +5,9 @@
 
 
 def main() -> int:
-    """Run until told to stop."""
-    # Loading the program takes a weak machine a second, in which a hang-up would end it.
+    """Run the gateway until a signal stops it."""
+    # The imports below take a second on a slow machine. Until then the default action of SIGHUP,
+    # which asks for a reload of the settings, would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from egretrail import gateway, platform
 
