--- a/scaffolding/platform/__init__.py
+++ b/scaffolding/platform/__init__.py
@@ -1,18 +1,18 @@
-"""Stand-ins of the users' platform: its store, its backends, and instances on loopback."""
+"""Stand-ins for the users' platform (store, backends, client) and a fleet of gateways."""
 
 from scaffolding.platform.backend import Behaviour, StandInBackend
-from scaffolding.platform.caller import Caller, Reply
+from scaffolding.platform.client import AttemptResult, GatewayClient
 from scaffolding.platform.fleet import GatewayFleet
 from scaffolding.platform.link import LinkFault, LinkProxy
 from scaffolding.platform.store import StandInStore
 
 __all__ = [
+    "AttemptResult",
     "Behaviour",
-    "Caller",
+    "GatewayClient",
     "GatewayFleet",
     "LinkFault",
     "LinkProxy",
-    "Reply",
     "StandInBackend",
     "StandInStore",
 ]
--- a/scaffolding/platform/backend.py
+++ b/scaffolding/platform/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in of a backend: slots, a queue, seals, and faults of several kinds."""
+"""A stand-in for a backend, with slots, a queue, response seals and injectable faults."""
 
 import asyncio
 import contextlib
@@ -11,26 +11,26 @@
 
 
 class Behaviour(enum.Enum):
-    """What a backend does with its requests."""
+    """How a backend handles its requests."""
 
-    SOUND = "sound"
-    #: It answers 500 at once.
+    HEALTHY = "sound"
+    #: Responds with 500 at once.
     FAILING = "failing"
-    #: It refuses with the mark that nothing ran.
+    #: Rejects requests with the header that says that they were not executed.
     SHEDDING = "shedding"
-    #: It runs requests and never answers.
+    #: Runs requests and never responds.
     HANGING = "hanging"
-    #: It runs requests and resets the connection.
+    #: Runs requests and resets the connection.
     RESETTING = "resetting"
-    #: Its answers end before their stated length.
+    #: Sends responses that are shorter than their content length.
     TRUNCATING = "truncating"
-    #: It sends another answer behind each.
-    DOUBLING = "doubling"
-    #: It sends a late answer to an earlier request in front of each.
-    CROSSING = "crossing"
-    #: Its answers are not HTTP.
-    NONSENSE = "nonsense"
-    #: Its answers carry no seal.
+    #: Sends an additional response, of another attempt, after each response.
+    EXTRA_RESPONSE = "doubling"
+    #: Sends a late response of another attempt before each response.
+    STALE_RESPONSE = "crossing"
+    #: Sends bytes that are not HTTP.
+    MALFORMED = "nonsense"
+    #: Sends responses without a seal.
     UNSEALED = "unsealed"
 
 
@@ -38,60 +38,60 @@
 class StandInBackend:
     """One lifetime of a backend on a loopback address."""
 
-    #: The service it belongs to.
+    #: The service that the backend belongs to.
     service: str
     #: Its availability zone.
     zone: str
-    #: How long its work takes.
+    #: How long a request takes, in seconds.
     work_s: float = 0.02
-    #: Requests that it runs at once.
+    #: Requests that run concurrently.
     slots: int = 4
-    #: Requests that may wait.
+    #: Requests that may wait for a slot.
     queue: int = 16
-    #: What it does.
-    behaviour: Behaviour = Behaviour.SOUND
-    #: Its lifetime's id.
+    #: How requests are handled now.
+    behaviour: Behaviour = Behaviour.HEALTHY
+    #: The id of this lifetime.
     id: str = field(default_factory=lambda: f"i-{next(_numbers):06d}")
-    #: The millisecond of its start; 0 for one that does not say.
+    #: Start time in Unix milliseconds; 0 leaves it out of the store entry.
     born: int = 0
-    #: Runs by client attempt.
+    #: Number of runs by client attempt.
     runs: Counter[str] = field(default_factory=Counter)
-    #: Targets and bodies that arrived, by client attempt.
-    seen: dict[str, tuple[str, str, bytes]] = field(default_factory=dict)
-    #: The header fields that arrived, by client attempt; names in lower case.
+    #: Method, target and body of the requests received, by client attempt.
+    received: dict[str, tuple[str, str, bytes]] = field(default_factory=dict)
+    #: Headers of the requests received, by client attempt; names are in lower case.
     headers: dict[str, dict[str, str]] = field(default_factory=dict)
-    #: Milliseconds that it was told are left, by client attempt.
-    told_ms: dict[str, int] = field(default_factory=dict)
-    #: When requests arrived, by the loop's clock, and their client attempts.
+    #: Remaining milliseconds that the deadline header stated, by client attempt.
+    deadlines_ms: dict[str, int] = field(default_factory=dict)
+    #: Arrival times by the event loop's clock, each with its client attempt.
     arrivals: list[tuple[float, str]] = field(default_factory=list)
-    #: Runs that ended since the connection closed.
+    #: Client attempts whose runs were cancelled because the connection closed.
     cancelled: list[str] = field(default_factory=list)
-    #: The requests a second that it names as its limit for all callers together.
+    #: The rate limit, in requests per second for all callers together, that responses state.
     limit_per_s: float | None = None
-    #: Where it listens.
+    #: The address that it listens on, ``IP:PORT``.
     address: str = ""
     _running: int = 0
     _waiting: int = 0
-    _room: asyncio.Semaphore | None = None
+    _slot_semaphore: asyncio.Semaphore | None = None
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen."""
-        self._room = asyncio.Semaphore(self.slots)
+        """Start listening."""
+        self._slot_semaphore = asyncio.Semaphore(self.slots)
         self._server = await asyncio.start_server(self._serve, host, port)
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
     async def stop(self) -> None:
-        """End at once, as a crash does."""
+        """Stop at once and abort all connections, as a crash does."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def record(self, state: str = "ready") -> dict[str, object]:
-        """Return its entry in the store."""
+        """Return the backend's entry in the store."""
         stated = {"born": self.born} if self.born else {}
         return {
             **stated,
@@ -108,7 +108,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError):
             return
@@ -117,7 +117,9 @@
             with contextlib.suppress(ConnectionError):
                 writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         line, *rows = head.strip().split("\r\n")
         method, target, _ = line.split(" ")
@@ -126,35 +128,35 @@
         }
         body = await reader.readexactly(int(fields.get("content-length", "0")))
         attempt = fields.get("x-egretrail-attempt-id", "")
-        self.seen[attempt] = (method, target, body)
+        self.received[attempt] = (method, target, body)
         self.headers[attempt] = fields
         self.arrivals.append((asyncio.get_running_loop().time(), attempt))
-        self.told_ms[attempt] = int(fields.get("x-egretrail-request-deadline", "0"))
+        self.deadlines_ms[attempt] = int(fields.get("x-egretrail-request-deadline", "0"))
         if fields.get("x-egretrail-expected-instance", self.id) != self.id:
-            self._send(writer, 421, b"", attempt, {"X-Egretrail-Instance-Id": self.id})
+            self._write_response(writer, 421, b"", attempt, {"X-Egretrail-Instance-Id": self.id})
             return True
-        full = self._waiting >= self.queue
-        if full or self.behaviour is Behaviour.SHEDDING:
-            self._send(writer, 503, b"", attempt, {"X-Egretrail-Not-Executed": "1"})
+        queue_full = self._waiting >= self.queue
+        if queue_full or self.behaviour is Behaviour.SHEDDING:
+            self._write_response(writer, 503, b"", attempt, {"X-Egretrail-Not-Executed": "1"})
             return True
         run = asyncio.create_task(self._run(attempt))
-        gone = asyncio.create_task(self._gone(reader))
-        await asyncio.wait({run, gone}, return_when=asyncio.FIRST_COMPLETED)
-        gone.cancel()
+        disconnected = asyncio.create_task(self._wait_for_disconnect(reader))
+        await asyncio.wait({run, disconnected}, return_when=asyncio.FIRST_COMPLETED)
+        disconnected.cancel()
         if not run.done():
             run.cancel()
             self.cancelled.append(attempt)
             return False
-        return self._reply(writer, attempt, f"{self.id} {method} {target}".encode())
+        return self._respond(writer, attempt, f"{self.id} {method} {target}".encode())
 
-    async def _gone(self, reader: asyncio.StreamReader) -> None:
+    async def _wait_for_disconnect(self, reader: asyncio.StreamReader) -> None:
         while not reader.at_eof():
             await asyncio.sleep(0.005)
 
     async def _run(self, attempt: str) -> None:
-        assert self._room is not None
+        assert self._slot_semaphore is not None
         self._waiting += 1
-        await self._room.acquire()
+        await self._slot_semaphore.acquire()
         self._waiting -= 1
         self._running += 1
         try:
@@ -165,37 +167,37 @@
                 await asyncio.sleep(self.work_s)
         finally:
             self._running -= 1
-            self._room.release()
+            self._slot_semaphore.release()
 
-    def _reply(self, writer: asyncio.StreamWriter, attempt: str, body: bytes) -> bool:
+    def _respond(self, writer: asyncio.StreamWriter, attempt: str, body: bytes) -> bool:
         match self.behaviour:
             case Behaviour.FAILING:
-                self._send(writer, 500, b"failed", attempt, _SEALED)
+                self._write_response(writer, 500, b"failed", attempt, _SEAL_HEADER)
             case Behaviour.RESETTING:
                 writer.transport.abort()
                 return False
             case Behaviour.TRUNCATING:
-                message = _message(200, body, attempt, _SEALED)
+                message = _encode_response(200, body, attempt, _SEAL_HEADER)
                 writer.write(message[:-3])
                 return False
-            case Behaviour.DOUBLING:
-                self._send(writer, 200, body, attempt, _SEALED)
-                self._send(writer, 200, b"of another", "other-attempt", _SEALED)
-            case Behaviour.CROSSING:
-                self._send(writer, 200, b"of another", "other-attempt", _SEALED)
-                self._send(writer, 200, body, attempt, _SEALED)
-            case Behaviour.NONSENSE:
+            case Behaviour.EXTRA_RESPONSE:
+                self._write_response(writer, 200, body, attempt, _SEAL_HEADER)
+                self._write_response(writer, 200, b"of another", "other-attempt", _SEAL_HEADER)
+            case Behaviour.STALE_RESPONSE:
+                self._write_response(writer, 200, b"of another", "other-attempt", _SEAL_HEADER)
+                self._write_response(writer, 200, body, attempt, _SEAL_HEADER)
+            case Behaviour.MALFORMED:
                 writer.write(b"\x00\x01 this is not an answer\r\n\r\n")
             case Behaviour.UNSEALED:
-                self._send(writer, 200, body, attempt, {})
+                self._write_response(writer, 200, body, attempt, {})
             case _:
                 load = f"{self._running + 1},{self._waiting},{self.slots}"
-                self._send(
-                    writer, 200, body, attempt, {**_SEALED, "X-Egretrail-Backend-Load": load}
+                self._write_response(
+                    writer, 200, body, attempt, {**_SEAL_HEADER, "X-Egretrail-Backend-Load": load}
                 )
         return True
 
-    def _send(
+    def _write_response(
         self,
         writer: asyncio.StreamWriter,
         status: int,
@@ -205,13 +207,13 @@
     ) -> None:
         if self.limit_per_s is not None:
             fields = {**fields, "Server-Limit": f"{self.limit_per_s:g}"}
-        writer.write(_message(status, body, attempt, fields))
+        writer.write(_encode_response(status, body, attempt, fields))
 
 
-_SEALED = {"X-Egretrail-Response-Seal": "1a.2b"}
+_SEAL_HEADER = {"X-Egretrail-Response-Seal": "1a.2b"}
 
 
-def _message(status: int, body: bytes, attempt: str, fields: dict[str, str]) -> bytes:
+def _encode_response(status: int, body: bytes, attempt: str, fields: dict[str, str]) -> bytes:
     rows = {"Content-Length": str(len(body)), "X-Egretrail-Attempt-Id": attempt, **fields}
     head = "".join(f"{name}: {value}\r\n" for name, value in rows.items())
     return f"HTTP/1.1 {status} Status\r\n{head}\r\n".encode() + body
--- a/scaffolding/platform/caller.py
+++ b/scaffolding/platform/client.py
@@ -1,4 +1,4 @@
-"""A caller of the gateways: asks where to connect and sends client attempts."""
+"""A client of the gateways: resolves gateway addresses and sends client attempts."""
 
 import asyncio
 import itertools
@@ -11,44 +11,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """What a caller got for one client attempt."""
+class AttemptResult:
+    """The result of one client attempt."""
 
     #: The client attempt's id.
     attempt: str
-    #: The status; 0 for a connection that ended without an answer.
+    #: The status; 0 if the connection ended without a response.
     status: int
     #: The body.
     body: bytes
-    #: The seconds of Retry-After, where the answer states them.
+    #: The value of Retry-After in seconds; None without this header.
     retry_after_s: float | None
 
 
 @dataclass(frozen=True, slots=True)
-class Caller:
-    """Sends requests to gateways, each on a connection of its own."""
+class GatewayClient:
+    """Sends requests to gateways, each on a new connection."""
 
-    #: The host that the requests name.
+    #: The value of the requests' Host header.
     host: str
 
-    async def ask_directory(self, address: str, zone: str) -> list[str]:
-        """Return the addresses that a directory names; none for an answer without them."""
+    async def resolve_addresses(self, address: str, zone: str) -> list[str]:
+        """Return the addresses in a directory's response; empty unless its status is 200."""
         target = f"/api/resolve?name={self.host}&region=r&zone={zone}"
         answer = await self._exchange(address, b"GET", target.encode(), [], b"")
         if answer is None or answer.status != 200:
             return []
         return [str(one) for one in json.loads(answer.body)["addresses"]]
 
-    async def ask_lifetime(self, address: str, zone: str) -> str | None:
-        """Return how long a directory's answer may be kept, as it states it."""
+    async def resolve_ttl(self, address: str, zone: str) -> str | None:
+        """Return the TTL of a directory's response, as text; None unless its status is 200."""
         target = f"/api/resolve?name={self.host}&region=r&zone={zone}"
         answer = await self._exchange(address, b"GET", target.encode(), [], b"")
         if answer is None or answer.status != 200:
             return None
         return str(json.loads(answer.body)["ttl"])
 
-    async def metric(self, address: str, name: str) -> float | None:
-        """Return a metric's value; None where it is not told."""
+    async def read_metric(self, address: str, name: str) -> float | None:
+        """Return the value of a metric; None if the gateway does not report it."""
         answer = await self._exchange(address, b"GET", b"/", [], b"")
         for line in answer.body.decode().splitlines() if answer is not None else ():
             if line.startswith(f"{name} "):
@@ -56,13 +56,13 @@
         return None
 
     async def is_ready(self, address: str) -> bool:
-        """Return whether an instance says that it is ready."""
+        """Return whether an instance responds that it is ready."""
         answer = await self._exchange(address, b"GET", b"/api/ready", [], b"")
         return answer is not None and answer.status == 200
 
     async def send(
         self, address: str, method: str, target: str, body: bytes = b"", wait_s: float = 3.0
-    ) -> Reply:
+    ) -> AttemptResult:
         """Send one client attempt."""
         attempt = f"attempt-{next(_attempts):06d}"
         fields = [
@@ -73,10 +73,10 @@
             address, method.encode(), target.encode(), fields, body, wait_s + 1.0
         )
         if answer is None:
-            return Reply(attempt, 0, b"", None)
+            return AttemptResult(attempt, 0, b"", None)
         stated = answer.value(b"retry-after")
         retry_after_s = float(stated) if stated is not None else None
-        return Reply(attempt, answer.status, answer.body, retry_after_s)
+        return AttemptResult(attempt, answer.status, answer.body, retry_after_s)
 
     async def _exchange(
         self,
--- a/scaffolding/platform/fleet.py
+++ b/scaffolding/platform/fleet.py
@@ -1,4 +1,4 @@
-"""Real gateway processes on loopback addresses, with the stand-ins in this process."""
+"""Real gateway processes on loopback addresses; the stand-ins run in this process."""
 
 import asyncio
 import itertools
@@ -23,18 +23,18 @@
 ZONES = ("zone-a", "zone-b")
 HOST = "shop.example"
 
-#: The loopback networks of this process's fleets and of their ways to the store: runs side by side
-#: have other ones, so that a gateway that starts again finds its ports free.
+#: The second byte of the loopback networks of gateways and of their links to the store. It differs
+#: between concurrent test runs, so that a restarted gateway finds its ports free.
 _NETWORK = 2 + 2 * (os.getpid() % 120)
 _STORE_HOST = f"127.{_NETWORK}.0.1"
 
-#: Ports are chosen below those that the system gives to outgoing connections, which would take one
-#: between its choice and its use; with room behind each for the ports next to it.
+#: Ports are chosen below the ephemeral range, from which an outgoing connection could take a port
+#: before it is bound. The step leaves space for the ports after each one.
 _PORTS = range(16_000, 32_000, 20)
 
 
 def free_ports(count: int, hosts: Sequence[str]) -> list[int]:
-    """Return ports that are free now on all of some loopback addresses."""
+    """Return ports that are currently free on all of the given loopback addresses."""
     rng = random.SystemRandom()
     candidates = rng.sample(_PORTS, len(_PORTS))
     free = (port for port in candidates if all(_is_free(host, port) for host in hosts))
@@ -52,7 +52,7 @@
 
 
 def route(name: str, prefix: str, service: str, **fields: object) -> dict[str, object]:
-    """Return a route as operators write it."""
+    """Return a route as it stands in the configuration document."""
     return {
         "name": name,
         "host": HOST,
@@ -73,12 +73,12 @@
 
 
 def single_attempt_route(name: str, prefix: str, service: str) -> dict[str, object]:
-    """Return a route whose requests are sent to one upstream, also after a refusal."""
+    """Return a route whose requests are sent only once, even if the upstream rejects them."""
     return order_route(name, prefix, service, maxAttempts=1)
 
 
 def account(name: str, *keys: str, **fields: object) -> dict[str, object]:
-    """Return a client account as operators write it."""
+    """Return a client account as it stands in the configuration document."""
     return {"name": name, "apiKeys": list(keys), "priority": 0, **fields}
 
 
@@ -87,7 +87,7 @@
     routes: Sequence[dict[str, object]],
     accounts: Sequence[dict[str, object]] | None = None,
 ) -> dict[str, object]:
-    """Return a configuration as operators write it."""
+    """Return a configuration document as operators write it."""
     names = {str(r["service"]) for r in routes if "service" in r}
     for row in routes:
         split = row.get("trafficSplit")
@@ -113,7 +113,7 @@
 
 
 class GatewayFleet:
-    """Gateways ``0 .. count-1``, in turns of the zones, each on an address of its own."""
+    """Gateways ``0 .. count-1``, spread round-robin over the zones, each on its own address."""
 
     def __init__(self, count: int) -> None:
         self.store = StandInStore()
@@ -121,50 +121,50 @@
         self._ips = [f"127.{_NETWORK}.{10 + n // 200}.{1 + n % 200}" for n in range(count)]
         hosts = [_STORE_HOST, *self._ips, *(self.store_host(n) for n in range(count))]
         self._ports = free_ports(7, hosts)
-        #: The way of each gateway to the store.
+        #: The link of each gateway to the store, on which faults are injected.
         self.store_links = [LinkProxy(self.store_address) for _ in self._ips]
         self._processes: dict[int, asyncio.subprocess.Process] = {}
-        #: Gateways whose process is being started now.
+        #: Gateways whose process is being started.
         self._starting: set[int] = set()
-        #: Processes that were started, by gateway.
-        self.starts: Counter[int] = Counter()
-        #: What was changed of each gateway's settings, as it stands in the file.
-        self._changes: dict[int, dict[str, str]] = {}
+        #: Number of processes started, by gateway.
+        self.start_counts: Counter[int] = Counter()
+        #: Changed settings of each gateway, as TOML text by name.
+        self._setting_overrides: dict[int, dict[str, str]] = {}
         self._runner: web.AppRunner | None = None
-        self._folder = Path(tempfile.mkdtemp(prefix="gateway-fleet-"))
-        self.logs = self._folder
+        self._directory = Path(tempfile.mkdtemp(prefix="gateway-fleet-"))
+        self.logs = self._directory
 
-    def traffic(self, number: int) -> str:
-        """Return where a gateway takes callers' requests."""
+    def traffic_address(self, number: int) -> str:
+        """Return the address on which a gateway accepts clients' requests."""
         return f"{self._ips[number]}:{self._ports[0]}"
 
-    def ready(self, number: int) -> str:
-        """Return where a gateway says whether it is ready."""
+    def readiness_address(self, number: int) -> str:
+        """Return the address of a gateway's readiness check."""
         return f"{self._ips[number]}:{self._ports[1]}"
 
-    def directory(self, number: int) -> str:
-        """Return where a gateway answers which addresses to use."""
+    def directory_address(self, number: int) -> str:
+        """Return the address of a gateway's directory."""
         return f"{self._ips[number]}:{self._ports[2]}"
 
     def ip(self, number: int) -> str:
-        """Return a gateway's address."""
+        """Return a gateway's IP address."""
         return self._ips[number]
 
     def store_host(self, number: int) -> str:
-        """Return where a gateway reaches the store, by which the store knows the gateway."""
+        """Return the IP on which a gateway reaches the store; the store knows the gateway by it."""
         return self._ips[number].replace(f"127.{_NETWORK}.", f"127.{_NETWORK + 1}.")
 
-    def metrics(self, number: int) -> str:
-        """Return where a gateway tells its metrics."""
+    def metrics_address(self, number: int) -> str:
+        """Return the address of a gateway's metrics."""
         return f"{self._ips[number]}:{self._ports[4] + 1}"
 
     @property
     def store_address(self) -> str:
-        """Where the store itself listens, behind the gateways' ways to it."""
+        """The address of the store itself, behind the gateways' links."""
         return f"{_STORE_HOST}:{self._ports[6]}"
 
-    def store_way(self, number: int) -> str:
-        """Return a gateway's own way to the store, on which faults strike."""
+    def store_link_address(self, number: int) -> str:
+        """Return the address of a gateway's link to the store, on which faults are injected."""
         return f"{self.store_host(number)}:{self._ports[5]}"
 
     def zone(self, number: int) -> str:
@@ -182,9 +182,9 @@
             await self.start_gateway(number)
 
     async def start_gateway(self, number: int) -> None:
-        """Start one gateway's process, unless it has one or somebody starts it already.
+        """Start one gateway's process, unless it is running or being started.
 
-        Of two processes of the same gateway only one would be known here, and end with the fleet.
+        Of two processes of the same gateway only one would be tracked and stopped with the fleet.
         """
         if self.is_running(number) or number in self._starting:
             return
@@ -195,10 +195,10 @@
             self._starting.discard(number)
 
     async def _start_process(self, number: int) -> None:
-        self.starts[number] += 1
-        path = self.settings_file(number)
-        path.write_text(self.settings(number))
-        log = (self._folder / f"node-{number}.log").open("ab")
+        self.start_counts[number] += 1
+        path = self.settings_path(number)
+        path.write_text(self.settings_text(number))
+        log = (self._directory / f"node-{number}.log").open("ab")
         environment = {
             "PATH": os.environ.get("PATH", ""),
             "PYTHONPATH": str(_ROOT / "src"),
@@ -210,7 +210,7 @@
         log.close()
 
     async def add_backends(self, service: str, count: int, **fields: object) -> None:
-        """Start backends and list them, in turns of the zones."""
+        """Start backends, spread round-robin over the zones, and list them in the store."""
         for number in range(count):
             zone = ZONES[number % len(ZONES)]
             backend = StandInBackend(service, zone, **fields)  # type: ignore[arg-type]
@@ -219,24 +219,24 @@
             self.store.write(f"servers/{backend.id}", backend.record())
 
     def is_running(self, number: int) -> bool:
-        """Return whether a gateway's process is there."""
+        """Return whether a gateway's process is running."""
         process = self._processes.get(number)
         return process is not None and process.returncode is None
 
-    def kill(self, number: int, how: signal.Signals = signal.SIGKILL) -> None:
-        """Send a gateway's process a signal."""
-        self._processes[number].send_signal(how)
+    def signal_gateway(self, number: int, signal_number: signal.Signals = signal.SIGKILL) -> None:
+        """Send a signal to a gateway's process."""
+        self._processes[number].send_signal(signal_number)
 
     def process_id(self, number: int) -> int:
         """Return the id of a gateway's process."""
         return self._processes[number].pid
 
     async def exit_code(self, number: int) -> int:
-        """Wait for a gateway's process to end."""
+        """Wait for a gateway's process to exit and return its exit code."""
         return await self._processes[number].wait()
 
     async def stop(self) -> None:
-        """End everything that was started here."""
+        """Stop all processes, backends, links and the store."""
         for process in self._processes.values():
             if process.returncode is None:
                 process.kill()
@@ -249,27 +249,27 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def log(self, number: int) -> str:
-        """Return what a gateway has logged."""
-        return (self._folder / f"node-{number}.log").read_text()
+    def read_log(self, number: int) -> str:
+        """Return a gateway's log."""
+        return (self._directory / f"node-{number}.log").read_text()
 
-    def settings_file(self, number: int) -> Path:
-        """Return where a gateway's settings stand."""
-        return self._folder / f"node-{number}.toml"
+    def settings_path(self, number: int) -> Path:
+        """Return the path of a gateway's settings file."""
+        return self._directory / f"node-{number}.toml"
 
     def change_settings(self, number: int, **fields: str) -> None:
-        """Change fields of a gateway's settings file; the process is told nothing."""
-        self._changes.setdefault(number, {}).update(fields)
-        self.settings_file(number).write_text(self.settings(number))
-
-    def settings(self, number: int) -> str:
-        """Return a gateway's settings as its file holds them."""
-        text = self._first_settings(number)
-        for name, value in self._changes.get(number, {}).items():
+        """Change fields of a gateway's settings file, without sending a signal to the process."""
+        self._setting_overrides.setdefault(number, {}).update(fields)
+        self.settings_path(number).write_text(self.settings_text(number))
+
+    def settings_text(self, number: int) -> str:
+        """Return the text of a gateway's settings file."""
+        text = self._initial_settings_text(number)
+        for name, value in self._setting_overrides.get(number, {}).items():
             text = re.sub(rf"(?m)^{name} = .*$", f"{name} = {value}", text)
         return text
 
-    def _first_settings(self, number: int) -> str:
+    def _initial_settings_text(self, number: int) -> str:
         ip = self._ips[number]
         front, ready, directory, control, peers, store, _ = self._ports
         return f"""
--- a/scaffolding/platform/link.py
+++ b/scaffolding/platform/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections between two processes."""
+"""A loopback proxy that injects faults into the connections between two processes."""
 
 import asyncio
 import contextlib
@@ -6,46 +6,47 @@
 
 
 class LinkFault(enum.Enum):
-    """What happens to the bytes of all connections through a proxy."""
+    """What a proxy does to the bytes of all its connections."""
 
     NONE = "none"
-    #: They arrive 0.2 s later.
+    #: Bytes arrive 0.2 s later.
     DELAYED = "delayed"
-    #: Connections are reset, new ones too.
+    #: Existing and new connections are reset.
     RESET = "reset"
-    #: What the client sends is lost; what the server sends arrives.
+    #: Bytes from the client are dropped; bytes from the server arrive.
     CUT_TO_SERVER = "cut_to_server"
-    #: What the server sends is lost; what the client sends arrives.
+    #: Bytes from the server are dropped; bytes from the client arrive.
     CUT_TO_CLIENT = "cut_to_client"
-    #: Nothing arrives on either side, and no connection ends.
-    SILENT = "silent"
+    #: All bytes are dropped, and no connection is closed.
+    BLACKHOLED = "silent"
 
 
 _DELAY_S = 0.2
-_PIECE_BYTES = 65_536
-#: Bytes that a cut has lost make a stream useless: its connection stays silent for good.
-_LOSSES = {
-    True: frozenset({LinkFault.CUT_TO_SERVER, LinkFault.SILENT}),
-    False: frozenset({LinkFault.CUT_TO_CLIENT, LinkFault.SILENT}),
+_CHUNK_BYTES = 65_536
+#: Faults that drop bytes, by whether the bytes flow to the server. A stream with dropped bytes is
+#: corrupt, so its connection never forwards bytes again.
+_LOSSY_FAULTS = {
+    True: frozenset({LinkFault.CUT_TO_SERVER, LinkFault.BLACKHOLED}),
+    False: frozenset({LinkFault.CUT_TO_CLIENT, LinkFault.BLACKHOLED}),
 }
 
 
 class LinkProxy:
-    """Forwards connections to one address."""
+    """Forwards connections to one address, with an injectable fault."""
 
     def __init__(self, target: str) -> None:
-        #: Where it forwards to, ``IP:PORT``.
+        #: The address that connections are forwarded to, ``IP:PORT``.
         self.target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._fault = LinkFault.NONE
-        #: Where it listens.
+        #: The address that the proxy listens on, ``IP:PORT``.
         self.address = ""
 
     @property
     def fault(self) -> LinkFault:
-        """What happens to the bytes now."""
+        """The current fault."""
         return self._fault
 
     @fault.setter
@@ -55,13 +56,13 @@
             self._reset_all()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, host, port)
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
     async def stop(self) -> None:
-        """End the listener and all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         self._reset_all()
@@ -79,42 +80,42 @@
             return
         host, _, port = self.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         loop = asyncio.get_running_loop()
-        pumps = [
-            loop.create_task(self._pump(reader, far_writer, to_server=True)),
-            loop.create_task(self._pump(far_reader, writer, to_server=False)),
+        tasks = [
+            loop.create_task(self._forward(reader, target_writer, to_server=True)),
+            loop.create_task(self._forward(target_reader, writer, to_server=False)),
         ]
-        self._tasks.update(pumps)
+        self._tasks.update(tasks)
         try:
-            await asyncio.wait(pumps)
+            await asyncio.wait(tasks)
         finally:
-            for pump in pumps:
-                pump.cancel()
-                self._tasks.discard(pump)
-            self._writers -= {writer, far_writer}
-            for one in (writer, far_writer):
+            for task in tasks:
+                task.cancel()
+                self._tasks.discard(task)
+            self._writers -= {writer, target_writer}
+            for one in (writer, target_writer):
                 with contextlib.suppress(OSError):
                     one.close()
 
-    async def _pump(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, to_server: bool
     ) -> None:
-        lost = False
+        is_corrupt = False
         try:
-            while data := await reader.read(_PIECE_BYTES):
+            while data := await reader.read(_CHUNK_BYTES):
                 if self._fault is LinkFault.DELAYED:
                     await asyncio.sleep(_DELAY_S)
-                lost = lost or self._fault in _LOSSES[to_server]
-                if not lost:
+                is_corrupt = is_corrupt or self._fault in _LOSSY_FAULTS[to_server]
+                if not is_corrupt:
                     writer.write(data)
                     await writer.drain()
-            if not lost and writer.can_write_eof():
+            if not is_corrupt and writer.can_write_eof():
                 writer.write_eof()
         except OSError:
-            # The other side of a connection that ended with an error ends the same way.
+            # A connection that failed on one side is aborted on the other side as well.
             writer.transport.abort()
--- a/scaffolding/platform/store.py
+++ b/scaffolding/platform/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, written from its published protocol."""
+"""A stand-in for the platform's store, implemented from its published protocol."""
 
 import asyncio
 import base64
@@ -12,14 +12,14 @@
 
 
 class StoreMode(enum.Enum):
-    """How the store behaves towards some or all callers."""
+    """How the store responds to some or all callers."""
 
     SERVING = "serving"
-    #: Every call gets 503.
-    BUSY = "busy"
-    #: Calls get no answer.
-    SILENT = "silent"
-    #: Writes are done and not answered.
+    #: Every call is rejected with 503.
+    UNAVAILABLE = "busy"
+    #: Calls get no response.
+    UNRESPONSIVE = "silent"
+    #: Writes are applied, but get no response.
     LOSING_REPLIES = "losing replies"
 
 
@@ -31,10 +31,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreCopy:
-    """All keys of a store at one moment."""
+class StoreBackup:
+    """A backup of all keys of a store."""
 
-    #: The items by key.
+    #: Items by key.
     items: dict[str, _Item]
     #: The revision of the last change.
     revision: int
@@ -42,29 +42,29 @@
 
 @dataclass(slots=True)
 class StandInStore:
-    """Keys with one revision counter, watches and a history that can be forgotten."""
+    """Keys with one revision counter, watches, and a history that can be discarded."""
 
-    #: How it behaves towards everyone without a mode of their own.
+    #: The mode for callers without a mode of their own.
     mode: StoreMode = StoreMode.SERVING
-    #: Modes of single instances, by the address at which they reach the store.
-    modes: dict[str, StoreMode] = field(default_factory=dict)
-    #: Calls by path.
-    calls: Counter[str] = field(default_factory=Counter)
+    #: Modes of single instances, by the IP on which they reach the store.
+    mode_overrides: dict[str, StoreMode] = field(default_factory=dict)
+    #: Number of calls by path.
+    call_counts: Counter[str] = field(default_factory=Counter)
     #: The revision of the last change.
     revision: int = 10
-    #: Rises with each return from a copy.
+    #: Incremented with each restore from a backup.
     era: int = 0
     _items: dict[str, _Item] = field(default_factory=dict)
     _events: list[dict[str, Any]] = field(default_factory=list)
-    _forgotten: int = 0
+    _discarded_revision: int = 0
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def write(self, key: str, document: object) -> None:
-        """Write a JSON value as the operator or a backend does."""
+        """Write a JSON value, as operators and backends do."""
         self._put(key, json.dumps(document).encode())
 
     def write_bytes(self, key: str, data: bytes) -> None:
-        """Write any bytes, as another writer may."""
+        """Write arbitrary bytes, as a faulty writer may."""
         self._put(key, data)
 
     def remove(self, key: str) -> None:
@@ -73,28 +73,28 @@
             self.revision += 1
             event = {"key": key, "revision": self.revision, "removed": True}
             self._events.append(event)
-            self._wake()
+            self._notify_watches()
 
-    def copy(self) -> StoreCopy:
-        """Return a copy of all keys, to come back from later."""
-        return StoreCopy(dict(self._items), self.revision)
+    def take_backup(self) -> StoreBackup:
+        """Return a backup of all keys, for a later restore."""
+        return StoreBackup(dict(self._items), self.revision)
 
-    def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what came since is gone, and its revisions are given anew."""
-        self._items = dict(copy.items)
-        self.revision = copy.revision
+    def restore(self, backup: StoreBackup) -> None:
+        """Restore a backup; later changes are lost, and their revision numbers are reused."""
+        self._items = dict(backup.items)
+        self.revision = backup.revision
         self.era += 1
-        self.forget_history()
+        self.discard_history()
 
-    def forget_history(self) -> None:
-        """Discard the history: watches after an earlier revision get 410."""
-        self._forgotten = self.revision
+    def discard_history(self) -> None:
+        """Discard the history; watches after an earlier revision get 410."""
+        self._discarded_revision = self.revision
         self._events.clear()
-        self._wake()
+        self._notify_watches()
 
     def app(self) -> web.Application:
-        """Return the store as an application."""
-        app = web.Application(middlewares=[self._behave])
+        """Return the store as a web application."""
+        app = web.Application(middlewares=[self._count_call])
         app.add_routes(
             [
                 web.get("/api/kv-key", self._key),
@@ -106,22 +106,22 @@
         return app
 
     @web.middleware
-    async def _behave(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        self.calls[request.path] += 1
-        response = await self._answer(request, handler)
+    async def _count_call(self, request: web.Request, handler: Any) -> web.StreamResponse:
+        self.call_counts[request.path] += 1
+        response = await self._apply_mode(request, handler)
         response.headers["Store-Era"] = str(self.era)
         return response
 
-    async def _answer(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        mode = self.modes.get(request.host.partition(":")[0], self.mode)
-        if mode is StoreMode.BUSY:
+    async def _apply_mode(self, request: web.Request, handler: Any) -> web.StreamResponse:
+        mode = self.mode_overrides.get(request.host.partition(":")[0], self.mode)
+        if mode is StoreMode.UNAVAILABLE:
             return web.Response(status=503)
-        if mode is StoreMode.SILENT:
+        if mode is StoreMode.UNRESPONSIVE:
             await asyncio.sleep(3600)
         response: web.StreamResponse = await handler(request)
-        # A watch that waited is turned away as well once the store has changed its mind.
-        mode = self.modes.get(request.host.partition(":")[0], self.mode)
-        if mode is StoreMode.BUSY:
+        # The mode may have changed while a watch waited; the watch is then rejected as well.
+        mode = self.mode_overrides.get(request.host.partition(":")[0], self.mode)
+        if mode is StoreMode.UNAVAILABLE:
             return web.Response(status=503)
         if mode is StoreMode.LOSING_REPLIES and request.method == "POST":
             await asyncio.sleep(3600)
@@ -146,7 +146,7 @@
         loop = asyncio.get_running_loop()
         end_s = loop.time() + int(request.query["waitMs"]) / 1000
         while True:
-            if after < self._forgotten:
+            if after < self._discarded_revision:
                 return web.json_response({}, status=410)
             found = [
                 event
@@ -181,9 +181,9 @@
         item = _Item(value, self.revision, before.created if before else self.revision)
         self._items[key] = item
         self._events.append(_row(key, item))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/scaffolding/soak/__init__.py
+++ b/scaffolding/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A randomized fault soak: real gateway processes, faults from outside, promises checked."""
+"""A randomized soak test: injects faults into real gateway processes and checks guarantees."""
 
+from scaffolding.soak._guarantees import GuaranteeChecker
 from scaffolding.soak._plan import Fault, FaultKind, plan
-from scaffolding.soak._promises import Promises
-from scaffolding.soak._run import Soak, SoakReport
+from scaffolding.soak._run import SoakReport, SoakRun
 
-__all__ = ["Fault", "FaultKind", "Promises", "Soak", "SoakReport", "plan"]
+__all__ = ["Fault", "FaultKind", "GuaranteeChecker", "SoakReport", "SoakRun", "plan"]
--- a/scaffolding/soak/__main__.py
+++ b/scaffolding/soak/__main__.py
@@ -1,11 +1,11 @@
-"""``python -m scaffolding.soak --seed 1 --seeds 5``: soak runs by hand."""
+"""Command line of the soak test: ``python -m scaffolding.soak --seed 1 --seeds 5``."""
 
 import asyncio
 import sys
 
 import click
 
-from scaffolding.soak import Soak
+from scaffolding.soak import SoakRun
 
 
 @click.command()
@@ -16,13 +16,13 @@
 @click.option("--clients", default=12, show_default=True, help="Clients, one request at a time.")
 def main(seed: int, seeds: int, seconds: float, gateways: int, clients: int) -> None:
     """Run seeds, print what each saw, and fail on any broken promise."""
-    broken = 0
+    violations = 0
     for number in range(seed, seed + seeds):
-        report = asyncio.run(Soak(number, seconds, gateways, clients).run())
+        report = asyncio.run(SoakRun(number, seconds, gateways, clients).run())
         click.echo(str(report))
-        broken += len(report.broken)
-    click.echo(f"{seeds} seeds, {broken} broken promises")
-    sys.exit(1 if broken else 0)
+        violations += len(report.violations)
+    click.echo(f"{seeds} seeds, {violations} broken promises")
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/scaffolding/soak/_client.py
+++ b/scaffolding/soak/_client.py
@@ -1,4 +1,4 @@
-"""A client that keeps its connections to gateways until these close them."""
+"""A client that keeps connections to gateways open until the gateways close them."""
 
 import asyncio
 import itertools
@@ -10,13 +10,13 @@
     encode_request,
     open_connection,
 )
-from scaffolding.platform import Reply
+from scaffolding.platform import AttemptResult
 
 _numbers = itertools.count(1)
 
 
-class KeepingClient:
-    """Uses an open connection again, also to a gateway that is stopping."""
+class KeepAliveClient:
+    """Reuses open connections, including those to a gateway that is stopping."""
 
     def __init__(self, host: str) -> None:
         self._host = host
@@ -24,8 +24,8 @@
 
     async def send(
         self, address: str, method: str, target: str, wait_s: float
-    ) -> tuple[Reply, bool]:
-        """Send one client attempt; return the reply, and whether the connection was a new one."""
+    ) -> tuple[AttemptResult, bool]:
+        """Send one client attempt; return its result and whether the connection was new."""
         attempt = f"soak-{next(_numbers):06d}"
         fields = [
             (b"Host", self._host.encode()),
@@ -34,23 +34,23 @@
         ]
         body = b"an order" if method == "POST" else b""
         data = encode_request(method.encode(), target.encode(), fields, body)
-        connection, fresh = await self._connect(address)
+        connection, is_new = await self._connect(address)
         if connection is None:
-            return Reply(attempt, 0, b"", None), fresh
+            return AttemptResult(attempt, 0, b"", None), is_new
         try:
             async with asyncio.timeout(wait_s + 1.0):
                 answer = await connection.exchange(data)
         except (ExchangeFailed, TimeoutError):
             connection.abort()
-            return Reply(attempt, 0, b"", None), fresh
+            return AttemptResult(attempt, 0, b"", None), is_new
         if connection.reusable:
             self._idle.setdefault(address, []).append(connection)
         else:
             connection.abort()
-        return Reply(attempt, answer.status, answer.body, None), fresh
+        return AttemptResult(attempt, answer.status, answer.body, None), is_new
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all idle connections."""
         for connections in self._idle.values():
             for connection in connections:
                 connection.abort()
@@ -59,10 +59,10 @@
     async def _connect(self, address: str) -> tuple[ClientConnection | None, bool]:
         idle = self._idle.get(address, [])
         while idle:
-            held = idle.pop()
-            if held.reusable:
-                return held, False
-            held.abort()
+            connection = idle.pop()
+            if connection.reusable:
+                return connection, False
+            connection.abort()
         try:
             return await open_connection(address, 1.0), True
         except ConnectFailed:
--- a/scaffolding/soak/_faults.py
+++ b/scaffolding/soak/_fault_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan, on processes, links, backends and the store."""
+"""Injects the faults of a plan into processes, links, backends and the store."""
 
 import asyncio
 import contextlib
@@ -10,33 +10,33 @@
 from scaffolding.platform import Behaviour, GatewayFleet, LinkFault, LinkProxy, StandInBackend
 from scaffolding.platform.fleet import ZONES
 from scaffolding.platform.store import StoreMode
-from scaffolding.soak._disturbances import Disturbances
+from scaffolding.soak._disturbances import DisturbanceLog
+from scaffolding.soak._guarantees import GuaranteeChecker
 from scaffolding.soak._plan import Fault, FaultKind
-from scaffolding.soak._promises import Promises
 
-#: The services, with the number of backends of each. The moving route takes turns of three.
+#: Number of backends by service. The moving route rotates over three of the services.
 _SERVICES = {"catalogue": 5, "orders": 6, "moving-0": 2, "moving-1": 2, "moving-2": 2}
-_MOVING = 3
-#: A process that ended is started again after this time.
+_MOVING_SERVICES = 3
+#: Delay before a process that exited is restarted.
 _RESTART_S = 0.3
-#: The grace after a termination signal.
+#: Grace period after a termination signal.
 _GRACE_S = 6.0
-#: A backend that leaves takes work for this long after the store took its word; what the machine
-#: may add on its own is allowed on top.
+#: A draining backend may get new requests for this long after the store has accepted its draining
+#: entry, plus an allowance for delays of the machine.
 _DRAIN_S, _MACHINE_S = 2.0, 1.0
-#: It goes on for such a time beyond the bound, in which late requests would arrive.
+#: A draining backend runs for this long beyond the bound, so that late requests are observed.
 _LINGER_S = 3.0
-#: An entry is removed so long after its backend fell silent.
-_SILENCE_S = 4.5
-#: This process counts as slowed when its loop wakes up so late.
+#: Delay between the crash of a backend and the removal of its entry.
+_ENTRY_REMOVAL_DELAY_S = 4.5
+#: The machine counts as disturbed if the event loop wakes up this late; poll interval of the check.
 _LAG_S = 0.5
-_LAG_LOOK_S = 0.1
-#: Requests sent within this time of a reload must not be cut.
+_LAG_POLL_S = 0.1
+#: Requests sent within this time after a reload must not be interrupted.
 _RELOAD_S = 3.0
-#: How often a settings file is half written first, for how long at most, how many signals tell of
-#: it, and how often the gateway is stopped right after.
-_HALF_SHARE, _HALF_WRITTEN_S = 0.4, 0.3
-_SIGNALS_MAX = 5
+#: Share of reloads that first write a truncated settings file, the longest time until the rest
+#: follows, the bound of the number of signals sent, and the share followed by a stop.
+_PARTIAL_WRITE_SHARE, _PARTIAL_WRITE_MAX_S = 0.4, 0.3
+_SIGNALS_BOUND = 5
 _STOP_SHARE = 0.3
 _BACKEND_FAULTS = (
     Behaviour.FAILING,
@@ -44,9 +44,9 @@
     Behaviour.HANGING,
     Behaviour.RESETTING,
     Behaviour.TRUNCATING,
-    Behaviour.DOUBLING,
-    Behaviour.CROSSING,
-    Behaviour.NONSENSE,
+    Behaviour.EXTRA_RESPONSE,
+    Behaviour.STALE_RESPONSE,
+    Behaviour.MALFORMED,
     Behaviour.UNSEALED,
 )
 _LINK_FAULTS = (
@@ -54,31 +54,31 @@
     LinkFault.RESET,
     LinkFault.CUT_TO_SERVER,
     LinkFault.CUT_TO_CLIENT,
-    LinkFault.SILENT,
+    LinkFault.BLACKHOLED,
 )
-_STORE_MODES = (StoreMode.BUSY, StoreMode.SILENT, StoreMode.LOSING_REPLIES)
+_STORE_MODES = (StoreMode.UNAVAILABLE, StoreMode.UNRESPONSIVE, StoreMode.LOSING_REPLIES)
 
 
 class FaultDriver:
-    """Owns backends, links and the lives of processes while a plan is played."""
+    """Manages backends, links and gateway processes during a plan."""
 
-    def __init__(self, fleet: GatewayFleet, promises: Promises) -> None:
+    def __init__(self, fleet: GatewayFleet, checker: GuaranteeChecker) -> None:
         self._fleet = fleet
-        self._promises = promises
+        self._checker = checker
         self._links: dict[str, LinkProxy] = {}
         self._all_links: list[LinkProxy] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._version = 1
-        self._holds: Counter[str] = Counter()
+        self._active_outages: Counter[str] = Counter()
         self._write_config: Callable[[int, str], None] = lambda version, service: None
-        #: All backends that ever ran.
+        #: All backends that were started.
         self.all_backends: list[StandInBackend] = []
-        #: What was harmed when.
-        self.disturbances = Disturbances()
-        #: Planned stops of gateways, and reloads.
-        self.stops = Disturbances()
-        #: Backends that said that they leave: when, and the bound for new work.
-        self.leaves: list[tuple[StandInBackend, float, float]] = []
+        #: Time spans in which a fault or a delay of the machine was active.
+        self.disturbances = DisturbanceLog()
+        #: Time spans of planned gateway stops and reloads.
+        self.stops = DisturbanceLog()
+        #: Draining backends, each with the time of its draining entry and the bound in seconds.
+        self.drains: list[tuple[StandInBackend, float, float]] = []
 
     async def start(self, write_config: Callable[[int, str], None]) -> None:
         """Write the first configuration and start the backends."""
@@ -89,57 +89,57 @@
                 await self._add_backend(service, ZONES[number % len(ZONES)])
         self._spawn(self._watch_lag())
 
-    async def play(self, faults: Sequence[Fault]) -> None:
-        """Carry out each fault at its time, and wait until the last one has ended."""
+    async def run(self, faults: Sequence[Fault]) -> None:
+        """Inject each fault at its time, and wait until the last one has ended."""
         loop = asyncio.get_running_loop()
         begin_s = loop.time()
         running = []
         for fault in faults:
             await asyncio.sleep(max(begin_s + fault.at_s - loop.time(), 0.0))
-            running.append(self._spawn(self._carry_out(fault)))
+            running.append(self._spawn(self._inject(fault)))
         await asyncio.gather(*running)
 
-    async def calm(self) -> None:
-        """End what is left of all faults, and see that every gateway runs."""
+    async def clear_faults(self) -> None:
+        """Clear all faults and restart gateways that are not running."""
         self._fleet.store.mode = StoreMode.SERVING
-        self._fleet.store.modes.clear()
+        self._fleet.store.mode_overrides.clear()
         for link in [*self._fleet.store_links, *self._links.values()]:
             link.fault = LinkFault.NONE
         for backend in self._fleet.backends:
-            backend.behaviour = Behaviour.SOUND
+            backend.behaviour = Behaviour.HEALTHY
         for number in range(len(self._fleet.store_links)):
             if not self._fleet.is_running(number):
-                await self._start_again(number)
+                await self._restart(number)
 
     async def close(self) -> None:
-        """End tasks and links."""
+        """Cancel tasks and stop links."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for link in self._all_links:
             await link.stop()
 
-    async def _carry_out(self, fault: Fault) -> None:
-        rng = random.Random(fault.pick)
-        acts: dict[FaultKind, Callable[[Fault, random.Random], Awaitable[None]]] = {
+    async def _inject(self, fault: Fault) -> None:
+        rng = random.Random(fault.seed)
+        handlers: dict[FaultKind, Callable[[Fault, random.Random], Awaitable[None]]] = {
             FaultKind.GATEWAY_KILLED: self._kill,
             FaultKind.GATEWAY_STOPPED: self._stop,
             FaultKind.GATEWAY_PAUSED: self._pause,
             FaultKind.GATEWAY_RELOADED: self._reload,
             FaultKind.ALL_KILLED: self._kill_all,
-            FaultKind.BACKEND_FAULTY: self._spoil,
-            FaultKind.BACKEND_LEAVES: self._leave,
+            FaultKind.BACKEND_FAULTY: self._set_backend_fault,
+            FaultKind.BACKEND_DRAINS: self._drain,
             FaultKind.BACKEND_CRASHES: self._crash,
             FaultKind.BACKEND_REPLACED: self._replace,
-            FaultKind.BACKEND_LINK: self._harm_backend_link,
-            FaultKind.STORE_AWAY: self._store_away,
-            FaultKind.STORE_TURNS_AWAY: self._store_turns_away,
-            FaultKind.STORE_LINK: self._harm_store_link,
-            FaultKind.STORE_FORGETS: self._store_forgets,
+            FaultKind.BACKEND_LINK: self._fault_backend_link,
+            FaultKind.STORE_UNAVAILABLE: self._disable_store,
+            FaultKind.STORE_REJECTS_GATEWAYS: self._reject_gateways_at_store,
+            FaultKind.STORE_LINK: self._fault_store_link,
+            FaultKind.STORE_HISTORY_DISCARDED: self._discard_store_history,
             FaultKind.CONFIG_CHANGE: self._config_change,
             FaultKind.CONFIG_SERIES: self._config_series,
         }
-        await acts[fault.kind](fault, rng)
+        await handlers[fault.kind](fault, rng)
 
     # Gateways
 
@@ -153,12 +153,12 @@
     async def _kill_one(self, number: int) -> None:
         if not self._fleet.is_running(number):
             return
-        self._harm(f"gateway-{number}", _RESTART_S + 1.0)
+        self._record_disturbance(f"gateway-{number}", _RESTART_S + 1.0)
         with contextlib.suppress(ProcessLookupError):
-            self._fleet.kill(number)
+            self._fleet.signal_gateway(number)
         await self._fleet.exit_code(number)
         await asyncio.sleep(_RESTART_S)
-        await self._start_again(number)
+        await self._restart(number)
 
     async def _stop(self, fault: Fault, rng: random.Random) -> None:
         await self._stop_one(self._any_gateway(rng))
@@ -167,43 +167,46 @@
         if not self._fleet.is_running(number):
             return
         now_s = asyncio.get_running_loop().time()
-        self.stops.add(f"gateway-{number}", now_s, now_s + _GRACE_S)
+        self.stops.add_span(f"gateway-{number}", now_s, now_s + _GRACE_S)
         with contextlib.suppress(ProcessLookupError):
-            self._fleet.kill(number, signal.SIGTERM)
+            self._fleet.signal_gateway(number, signal.SIGTERM)
         try:
             async with asyncio.timeout(_GRACE_S):
                 await self._fleet.exit_code(number)
         except TimeoutError:
-            self._harm(f"gateway-{number}", 1.0)
+            self._record_disturbance(f"gateway-{number}", 1.0)
             with contextlib.suppress(ProcessLookupError):
-                self._fleet.kill(number)
+                self._fleet.signal_gateway(number)
             await self._fleet.exit_code(number)
         await asyncio.sleep(_RESTART_S)
-        await self._start_again(number)
+        await self._restart(number)
 
     async def _pause(self, fault: Fault, rng: random.Random) -> None:
         number = self._any_gateway(rng)
         if not self._fleet.is_running(number):
             return
-        self._harm(f"gateway-{number}", fault.for_s)
+        self._record_disturbance(f"gateway-{number}", fault.duration_s)
         with contextlib.suppress(ProcessLookupError):
-            self._fleet.kill(number, signal.SIGSTOP)
-            await asyncio.sleep(fault.for_s)
-            self._fleet.kill(number, signal.SIGCONT)
+            self._fleet.signal_gateway(number, signal.SIGSTOP)
+            await asyncio.sleep(fault.duration_s)
+            self._fleet.signal_gateway(number, signal.SIGCONT)
 
     async def _reload(self, fault: Fault, rng: random.Random) -> None:
-        """Change a gateway's file, half of it first at times; tell it or not; stop it at times."""
+        """Change a gateway's settings file, with no, one or several signals.
+
+        The file is sometimes truncated first, and the gateway sometimes stopped afterwards.
+        """
         number = self._any_gateway(rng)
         if not self._fleet.is_running(number):
             return
         now_s = asyncio.get_running_loop().time()
-        self.stops.add(f"gateway-{number}", now_s, now_s + _RELOAD_S)
-        if rng.random() < _HALF_SHARE:
-            whole = self._fleet.settings(number)
-            self._fleet.settings_file(number).write_text(whole[: rng.randrange(len(whole))])
-            self._hang_up(number)
-            await asyncio.sleep(rng.random() * _HALF_WRITTEN_S)
-        addresses = [self._fleet.store_address, self._fleet.store_way(number)]
+        self.stops.add_span(f"gateway-{number}", now_s, now_s + _RELOAD_S)
+        if rng.random() < _PARTIAL_WRITE_SHARE:
+            text = self._fleet.settings_text(number)
+            self._fleet.settings_path(number).write_text(text[: rng.randrange(len(text))])
+            self._signal_reload(number)
+            await asyncio.sleep(rng.random() * _PARTIAL_WRITE_MAX_S)
+        addresses = [self._fleet.store_address, self._fleet.store_link_address(number)]
         self._fleet.change_settings(
             number,
             ttl_max=rng.choice(['"1s"', '"3s"', '"5s"']),
@@ -211,17 +214,17 @@
             memoryMb=rng.choice(["200", "300"]),
             address=f'"{rng.choice(addresses)}"',
         )
-        for _ in range(rng.randrange(_SIGNALS_MAX)):
-            self._hang_up(number)
+        for _ in range(rng.randrange(_SIGNALS_BOUND)):
+            self._signal_reload(number)
             await asyncio.sleep(rng.random() * 0.1)
         if rng.random() < _STOP_SHARE:
             await self._stop_one(number)
 
-    def _hang_up(self, number: int) -> None:
+    def _signal_reload(self, number: int) -> None:
         with contextlib.suppress(ProcessLookupError):
-            self._fleet.kill(number, signal.SIGHUP)
+            self._fleet.signal_gateway(number, signal.SIGHUP)
 
-    async def _start_again(self, number: int) -> None:
+    async def _restart(self, number: int) -> None:
         await self._fleet.start_gateway(number)
 
     def _any_gateway(self, rng: random.Random) -> int:
@@ -229,61 +232,61 @@
 
     # Backends
 
-    async def _spoil(self, fault: Fault, rng: random.Random) -> None:
+    async def _set_backend_fault(self, fault: Fault, rng: random.Random) -> None:
         backend = rng.choice(self._fleet.backends)
-        self._harm(backend.id, fault.for_s)
+        self._record_disturbance(backend.id, fault.duration_s)
         backend.behaviour = rng.choice(_BACKEND_FAULTS)
-        await asyncio.sleep(fault.for_s)
-        backend.behaviour = Behaviour.SOUND
+        await asyncio.sleep(fault.duration_s)
+        backend.behaviour = Behaviour.HEALTHY
 
-    async def _leave(self, fault: Fault, rng: random.Random) -> None:
+    async def _drain(self, fault: Fault, rng: random.Random) -> None:
         backend = rng.choice(self._fleet.backends)
-        if self._last_of(backend):
+        if self._is_last_of_service(backend):
             return
         self._fleet.backends.remove(backend)
         await self._add_backend(backend.service, backend.zone)
         record = {**backend.record("draining"), "address": self._links[backend.id].address}
         self._fleet.store.write(f"servers/{backend.id}", record)
-        left_s = asyncio.get_running_loop().time()
-        self.leaves.append((backend, left_s, _DRAIN_S + _MACHINE_S))
+        drained_s = asyncio.get_running_loop().time()
+        self.drains.append((backend, drained_s, _DRAIN_S + _MACHINE_S))
         await asyncio.sleep(_DRAIN_S + _LINGER_S)
         self._fleet.store.remove(f"servers/{backend.id}")
-        self._harm(backend.id, 1e9)
+        self._record_disturbance(backend.id, 1e9)
         await backend.stop()
 
     async def _crash(self, fault: Fault, rng: random.Random) -> None:
         backend = rng.choice(self._fleet.backends)
         self._fleet.backends.remove(backend)
-        self._harm(backend.id, 1e9)
+        self._record_disturbance(backend.id, 1e9)
         await backend.stop()
-        await asyncio.sleep(min(fault.for_s, 1.0))
+        await asyncio.sleep(min(fault.duration_s, 1.0))
         await self._add_backend(backend.service, backend.zone)
-        await asyncio.sleep(_SILENCE_S)
+        await asyncio.sleep(_ENTRY_REMOVAL_DELAY_S)
         self._fleet.store.remove(f"servers/{backend.id}")
 
     async def _replace(self, fault: Fault, rng: random.Random) -> None:
-        """End a backend, and give its address to a new one of another service."""
+        """Stop a backend and assign its address to a new backend of another service."""
         backend = rng.choice(self._fleet.backends)
-        if self._last_of(backend):
+        if self._is_last_of_service(backend):
             return
         self._fleet.backends.remove(backend)
-        self._harm(backend.id, 1e9)
+        self._record_disturbance(backend.id, 1e9)
         await backend.stop()
         service = rng.choice([name for name in _SERVICES if name != backend.service])
         await self._add_backend(service, backend.zone, self._links[backend.id])
         await self._add_backend(backend.service, backend.zone)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self._fleet.store.remove(f"servers/{backend.id}")
 
-    async def _harm_backend_link(self, fault: Fault, rng: random.Random) -> None:
+    async def _fault_backend_link(self, fault: Fault, rng: random.Random) -> None:
         backend = rng.choice(self._fleet.backends)
-        self._harm(backend.id, fault.for_s)
+        self._record_disturbance(backend.id, fault.duration_s)
         link = self._links[backend.id]
         link.fault = rng.choice(_LINK_FAULTS)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         link.fault = LinkFault.NONE
 
-    def _last_of(self, backend: StandInBackend) -> bool:
+    def _is_last_of_service(self, backend: StandInBackend) -> bool:
         return sum(one.service == backend.service for one in self._fleet.backends) < 2
 
     async def _add_backend(self, service: str, zone: str, link: LinkProxy | None = None) -> None:
@@ -303,36 +306,36 @@
 
     # The store and the configuration
 
-    async def _store_away(self, fault: Fault, rng: random.Random) -> None:
-        self._harm("store", fault.for_s)
-        self._holds["store"] += 1
+    async def _disable_store(self, fault: Fault, rng: random.Random) -> None:
+        self._record_disturbance("store", fault.duration_s)
+        self._active_outages["store"] += 1
         self._fleet.store.mode = rng.choice(_STORE_MODES)
-        await asyncio.sleep(fault.for_s)
-        self._holds["store"] -= 1
-        if not self._holds["store"]:
+        await asyncio.sleep(fault.duration_s)
+        self._active_outages["store"] -= 1
+        if not self._active_outages["store"]:
             self._fleet.store.mode = StoreMode.SERVING
 
-    async def _store_turns_away(self, fault: Fault, rng: random.Random) -> None:
+    async def _reject_gateways_at_store(self, fault: Fault, rng: random.Random) -> None:
         numbers = [n for n in range(len(self._fleet.store_links)) if rng.random() < 0.4]
         hosts = [self._fleet.store_host(number) for number in numbers]
         for number, host in zip(numbers, hosts, strict=True):
-            self._harm(f"gateway-{number}", fault.for_s)
-            self._fleet.store.modes[host] = rng.choice(_STORE_MODES)
-        await asyncio.sleep(fault.for_s)
+            self._record_disturbance(f"gateway-{number}", fault.duration_s)
+            self._fleet.store.mode_overrides[host] = rng.choice(_STORE_MODES)
+        await asyncio.sleep(fault.duration_s)
         for host in hosts:
-            self._fleet.store.modes.pop(host, None)
+            self._fleet.store.mode_overrides.pop(host, None)
 
-    async def _harm_store_link(self, fault: Fault, rng: random.Random) -> None:
+    async def _fault_store_link(self, fault: Fault, rng: random.Random) -> None:
         number = self._any_gateway(rng)
-        self._harm(f"gateway-{number}", fault.for_s)
+        self._record_disturbance(f"gateway-{number}", fault.duration_s)
         link = self._fleet.store_links[number]
         link.fault = rng.choice(_LINK_FAULTS)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         link.fault = LinkFault.NONE
 
-    async def _store_forgets(self, fault: Fault, rng: random.Random) -> None:
-        self._harm("store", 0.1)
-        self._fleet.store.forget_history()
+    async def _discard_store_history(self, fault: Fault, rng: random.Random) -> None:
+        self._record_disturbance("store", 0.1)
+        self._fleet.store.discard_history()
 
     async def _config_change(self, fault: Fault, rng: random.Random) -> None:
         self._change_config()
@@ -343,27 +346,27 @@
             await asyncio.sleep(0.06)
 
     def _change_config(self) -> None:
-        number = len(self._promises.versions)
+        number = len(self._checker.config_changes)
         self._version += 1 + number % 3
-        service = f"moving-{number % _MOVING}"
+        service = f"moving-{number % _MOVING_SERVICES}"
         self._write_config(self._version, service)
-        self._promises.versions.append((asyncio.get_running_loop().time(), service))
+        self._checker.config_changes.append((asyncio.get_running_loop().time(), service))
 
     # Bookkeeping
 
-    def _harm(self, subject: str, for_s: float) -> None:
+    def _record_disturbance(self, subject: str, duration_s: float) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.disturbances.add(subject, now_s, now_s + for_s)
+        self.disturbances.add_span(subject, now_s, now_s + duration_s)
 
     async def _watch_lag(self) -> None:
-        """Note when this process itself is held up, which says nothing about the gateways."""
+        """Record delays of this process, which are no evidence against the gateways."""
         loop = asyncio.get_running_loop()
         while True:
             before_s = loop.time()
-            await asyncio.sleep(_LAG_LOOK_S)
+            await asyncio.sleep(_LAG_POLL_S)
             now_s = loop.time()
             if now_s - before_s > _LAG_S:
-                self.disturbances.add("machine", before_s, now_s)
+                self.disturbances.add_span("machine", before_s, now_s)
 
     def _spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
         task = asyncio.ensure_future(work)
--- a/scaffolding/soak/_run.py
+++ b/scaffolding/soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak run: a fleet under load, the faults of a plan, and the promises afterwards."""
+"""One soak run: applies load and a plan of faults to a fleet, then checks the guarantees."""
 
 import asyncio
 import random
@@ -6,47 +6,47 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from scaffolding.platform import Caller, GatewayFleet
+from scaffolding.platform import GatewayClient, GatewayFleet
 from scaffolding.platform.fleet import HOST, config, order_route, route
-from scaffolding.soak._client import KeepingClient
-from scaffolding.soak._faults import FaultDriver
+from scaffolding.soak._client import KeepAliveClient
+from scaffolding.soak._fault_driver import FaultDriver
+from scaffolding.soak._guarantees import GuaranteeChecker, SentAttempt
 from scaffolding.soak._plan import plan
-from scaffolding.soak._promises import Promises, Sent
 
-#: Clients wait this long for an answer.
+#: How long clients wait for a response.
 _WAIT_S = 3.0
-#: Each client sends one request after the other, with such a pause on average.
+#: Mean pause between two requests of a client, which sends one request at a time.
 _PAUSE_S = 0.08
-#: The fleet serves again within this time after the last fault.
+#: The fleet must serve again within this time after the last fault.
 _RECOVERY_S = 15.0
 _RECOVERED_SHARE = 0.9
-#: Grace after a termination signal, with the time in which the process is seen to be gone.
+#: Grace period after a termination signal, plus the time until the exit of the process is noticed.
 _GRACE_S = 6.5
 
 
 @dataclass(frozen=True, slots=True)
 class SoakReport:
-    """What a run saw."""
+    """The results of a run."""
 
-    #: The seed of its plan.
+    #: The seed of the plan.
     seed: int
-    #: Answers by status; 0 for none.
+    #: Number of responses by status; 0 means no response.
     statuses: Counter[int]
-    #: Faults by kind.
+    #: Number of faults by kind.
     faults: Counter[str]
-    #: Each broken promise.
-    broken: Sequence[str]
+    #: A description of each violated guarantee.
+    violations: Sequence[str]
 
     def __str__(self) -> str:
         answers = " ".join(f"{status}:{count}" for status, count in sorted(self.statuses.items()))
         faults = " ".join(f"{name}:{count}" for name, count in sorted(self.faults.items()))
         lines = [f"seed {self.seed}: {answers} | {faults}"]
-        lines += [f"  broken: {one}" for one in self.broken]
+        lines += [f"  broken: {one}" for one in self.violations]
         return "\n".join(lines)
 
 
-class Soak:
-    """Runs one seed."""
+class SoakRun:
+    """Runs the plan of one seed."""
 
     def __init__(self, seed: int, length_s: float, gateways: int, clients: int) -> None:
         self._seed = seed
@@ -54,35 +54,35 @@
         self._gateways = gateways
         self._clients = clients
         self._fleet = GatewayFleet(gateways)
-        self._promises = Promises()
-        self._driver = FaultDriver(self._fleet, self._promises)
-        self._caller = Caller(HOST)
+        self._checker = GuaranteeChecker()
+        self._driver = FaultDriver(self._fleet, self._checker)
+        self._probe_client = GatewayClient(HOST)
 
     async def run(self) -> SoakReport:
-        """Play the plan; end all processes that were started."""
+        """Run the plan, check the guarantees, and stop all processes that were started."""
         faults = plan(self._seed, self._length_s)
         try:
             await self._start()
-            await self._play(faults)
-            await self._driver.calm()
-            recovered = await self._recovers()
+            await self._run_plan(faults)
+            await self._driver.clear_faults()
+            recovered = await self._wait_for_recovery()
         finally:
             await self._driver.close()
             await self._fleet.stop()
-        self._judge_stops_and_leaves()
-        broken = self._promises.broken(self._driver.all_backends)
+        self._check_stops_and_drains()
+        violations = self._checker.violations(self._driver.all_backends)
         if not recovered:
-            broken.append(f"not serving {_RECOVERY_S:.0f} s after the last fault")
-        statuses = Counter(one.reply.status for one in self._promises.sent)
+            violations.append(f"not serving {_RECOVERY_S:.0f} s after the last fault")
+        statuses = Counter(one.result.status for one in self._checker.sent)
         kinds = Counter(fault.kind.value for fault in faults)
-        return SoakReport(self._seed, statuses, kinds, broken)
+        return SoakReport(self._seed, statuses, kinds, violations)
 
     async def _start(self) -> None:
         await self._driver.start(self._write_config)
         await self._fleet.start()
         async with asyncio.timeout(_RECOVERY_S):
             for number in range(self._gateways):
-                while not await self._caller.is_ready(self._fleet.ready(number)):
+                while not await self._probe_client.is_ready(self._fleet.readiness_address(number)):
                     await asyncio.sleep(0.05)
 
     def _write_config(self, version: int, moving_service: str) -> None:
@@ -93,49 +93,51 @@
         ]
         self._fleet.store.write("op/config", config(version, rows))
 
-    async def _play(self, faults: Sequence[object]) -> None:
+    async def _run_plan(self, faults: Sequence[object]) -> None:
         end = asyncio.Event()
         clients = [
             asyncio.create_task(self._client(number, end)) for number in range(self._clients)
         ]
-        await self._driver.play(faults)  # type: ignore[arg-type]
+        await self._driver.run(faults)  # type: ignore[arg-type]
         end.set()
         await asyncio.gather(*clients)
 
     async def _client(self, number: int, end: asyncio.Event) -> None:
-        """Send requests one after the other, on connections that are kept where they can be."""
+        """Send requests one after the other, on kept-alive connections where possible."""
         rng = random.Random(self._seed * 1_000 + number)
-        client = KeepingClient(HOST)
+        client = KeepAliveClient(HOST)
         while not end.is_set():
             await asyncio.sleep(rng.expovariate(1 / _PAUSE_S))
-            await self._one(client, rng.randrange(self._gateways), rng)
+            await self._send_one(client, rng.randrange(self._gateways), rng)
         client.close()
 
-    async def _one(self, client: KeepingClient, gateway: int, rng: random.Random) -> bool:
+    async def _send_one(self, client: KeepAliveClient, gateway: int, rng: random.Random) -> bool:
         kind = rng.choice(["read", "order", "order", "moving"])
         method = "POST" if kind == "order" else "GET"
         target = f"/{kind}/{rng.randrange(1_000)}"
         at_s = asyncio.get_running_loop().time()
-        lifetime = self._fleet.starts[gateway]
-        reply, _ = await client.send(self._fleet.traffic(gateway), method, target, _WAIT_S)
+        process_number = self._fleet.start_counts[gateway]
+        result, _ = await client.send(self._fleet.traffic_address(gateway), method, target, _WAIT_S)
         service = {"read": "catalogue", "order": "orders"}.get(kind, "")
-        if self._fleet.starts[gateway] == lifetime or reply.status == 0 or service:
-            line = f"{method} {target}"
-            once = kind == "order"
-            sent = Sent(at_s, gateway, lifetime, once, service, line, reply)
-            self._promises.sent.append(sent)
-        return reply.status == 200
-
-    async def _recovers(self) -> bool:
-        """Return whether nearly all requests are served again in time."""
+        if self._fleet.start_counts[gateway] == process_number or result.status == 0 or service:
+            request_line = f"{method} {target}"
+            is_at_most_once = kind == "order"
+            sent = SentAttempt(
+                at_s, gateway, process_number, is_at_most_once, service, request_line, result
+            )
+            self._checker.sent.append(sent)
+        return result.status == 200
+
+    async def _wait_for_recovery(self) -> bool:
+        """Return whether nearly all requests are served again within the recovery time."""
         loop = asyncio.get_running_loop()
         rng = random.Random(self._seed)
-        client = KeepingClient(HOST)
+        client = KeepAliveClient(HOST)
         end_s = loop.time() + _RECOVERY_S
         try:
             while loop.time() < end_s:
                 served = [
-                    await self._one(client, number % self._gateways, rng)
+                    await self._send_one(client, number % self._gateways, rng)
                     for number in range(4 * self._gateways)
                 ]
                 if sum(served) >= _RECOVERED_SHARE * len(served):
@@ -144,28 +146,34 @@
         finally:
             client.close()
 
-    def _judge_stops_and_leaves(self) -> None:
-        """Find requests that planned stops cut, and late ones at leaving backends."""
-        harmed = self._driver.disturbances
-        by_attempt = {one.reply.attempt: one for one in self._promises.sent}
-        for one in self._promises.sent:
+    def _check_stops_and_drains(self) -> None:
+        """Find requests that planned stops interrupted, and late requests at draining backends."""
+        active_faults = self._driver.disturbances
+        by_attempt = {one.result.attempt: one for one in self._checker.sent}
+        for one in self._checker.sent:
             name = f"gateway-{one.gateway}"
             end_s = one.at_s + _WAIT_S
-            stopping = self._driver.stops.touch(name, one.at_s, one.at_s + 1.0)
-            if one.reply.status or not stopping or harmed.touch(name, one.at_s - 1.0, end_s):
+            stopping = self._driver.stops.overlaps(name, one.at_s, one.at_s + 1.0)
+            if (
+                one.result.status
+                or not stopping
+                or active_faults.overlaps(name, one.at_s - 1.0, end_s)
+            ):
                 continue
             for backend in self._driver.all_backends:
-                ran = one.reply.attempt in backend.runs
-                if ran and not harmed.touch(backend.id, one.at_s - 3.0, end_s):
-                    self._promises.cut_at_stops.append(one.reply.attempt)
-        for backend, left_s, bound_s in self._driver.leaves:
+                ran = one.result.attempt in backend.runs
+                if ran and not active_faults.overlaps(backend.id, one.at_s - 3.0, end_s):
+                    self._checker.cut_at_shutdown.append(one.result.attempt)
+        for backend, drained_s, bound_s in self._driver.drains:
             for at_s, attempt in backend.arrivals:
                 sent = by_attempt.get(attempt)
-                if sent is None or at_s <= left_s + bound_s:
+                if sent is None or at_s <= drained_s + bound_s:
                     continue
                 subjects = ("store", "machine", f"gateway-{sent.gateway}")
-                # What is harmed after the bound excuses nothing: the gateway knew by then.
-                known_s = left_s + bound_s
-                if not any(harmed.touch(one, left_s - 3.0, known_s) for one in subjects):
-                    late_s = at_s - left_s
-                    self._promises.late_to_leaving.append(f"{attempt} after {late_s:.1f} s")
+                # Later disturbances are no excuse, because by the bound the gateway must know.
+                bound_end_s = drained_s + bound_s
+                if not any(
+                    active_faults.overlaps(one, drained_s - 3.0, bound_end_s) for one in subjects
+                ):
+                    late_s = at_s - drained_s
+                    self._checker.late_to_draining.append(f"{attempt} after {late_s:.1f} s")
--- a/scaffolding/soak/tests/test_soak.py
+++ b/scaffolding/soak/tests/test_soak.py
@@ -1,27 +1,30 @@
-"""The soak's own parts, a short seeded run, and the seeds that once found a fault."""
+"""Tests of the soak's parts, a short run, and runs with seeds that once found a fault."""
 
 import asyncio
 import itertools
 from collections.abc import Sequence
 
 from egretrail.testing import EgretrailTestCase, cases
-from scaffolding.platform import GatewayFleet, LinkFault, LinkProxy, Reply, StandInBackend
-from scaffolding.soak import Promises, Soak, plan
-from scaffolding.soak._disturbances import Disturbances
-from scaffolding.soak._promises import Sent
+from scaffolding.platform import AttemptResult, GatewayFleet, LinkFault, LinkProxy, StandInBackend
+from scaffolding.soak import GuaranteeChecker, SoakRun, plan
+from scaffolding.soak._disturbances import DisturbanceLog
+from scaffolding.soak._guarantees import SentAttempt
 
 _LIMIT_S = 180.0
-#: Seeds that once broke a promise: the plan's length, and what was broken and why.
+#: Seeds that once violated a guarantee, with the plan's length in seconds, by what was violated and
+#: why.
 _REGRESSIONS: dict[str, tuple[int, float]] = {}
 
-#: Service of a backend, and the client attempts that it ran.
+#: Service of a backend, and the client attempts that the backend ran.
 Run = tuple[str, Sequence[str]]
 
 
-def _sent(at_s: float, service: str, status: int, attempt: str = "a", *, once: bool = True) -> Sent:
+def _sent(
+    at_s: float, service: str, status: int, attempt: str = "a", *, is_at_most_once: bool = True
+) -> SentAttempt:
     body = b"i-1 POST /x/1" if status == 200 else b""
-    reply = Reply(attempt, status, body, None)
-    return Sent(at_s, 0, 1, once, service, "POST /x/1", reply)
+    result = AttemptResult(attempt, status, body, None)
+    return SentAttempt(at_s, 0, 1, is_at_most_once, service, "POST /x/1", result)
 
 
 def _backends(runs: Sequence[Run]) -> list[StandInBackend]:
@@ -35,26 +38,26 @@
     return backends
 
 
-class PromisesTest(EgretrailTestCase):
+class GuaranteeCheckerTest(EgretrailTestCase):
     @cases(
         {
-            "all kept": ([_sent(0.0, "orders", 200)], [("orders", ["a"])], ""),
+            "no violation": ([_sent(0.0, "orders", 200)], [("orders", ["a"])], ""),
             "ran twice": (
                 [_sent(0.0, "orders", 500)],
                 [("orders", ["a"]), ("orders", ["a"])],
                 "ran 2 times",
             ),
-            "an idempotent one may": (
-                [_sent(0.0, "orders", 200, once=False)],
+            "an idempotent request may run twice": (
+                [_sent(0.0, "orders", 200, is_at_most_once=False)],
                 [("orders", ["a"]), ("orders", ["a"])],
                 "",
             ),
-            "a refusal that is not true": (
+            "a refused request that ran": (
                 [_sent(0.0, "orders", 503)],
                 [("orders", ["a"])],
                 "was answered 503 and ran",
             ),
-            "an answer without a run": ([_sent(0.0, "orders", 200)], [], "never ran"),
+            "a response without a run": ([_sent(0.0, "orders", 200)], [], "never ran"),
             "another service": (
                 [_sent(0.0, "orders", 200)],
                 [("catalogue", ["a"])],
@@ -62,34 +65,34 @@
             ),
             "an older configuration": (
                 [
-                    _sent(0.0, "", 200, "a", once=False),
-                    _sent(1.0, "", 200, "b", once=False),
-                    _sent(2.0, "", 200, "c", once=False),
+                    _sent(0.0, "", 200, "a", is_at_most_once=False),
+                    _sent(1.0, "", 200, "b", is_at_most_once=False),
+                    _sent(2.0, "", 200, "c", is_at_most_once=False),
                 ],
                 [("moving-0", ["a", "c"]), ("moving-1", ["b"])],
                 "a version back",
             ),
-            "too many repeats": (
-                [_sent(0.0, "orders", 500, f"a{n}", once=False) for n in range(70)],
+            "too many retries": (
+                [_sent(0.0, "orders", 500, f"a{n}", is_at_most_once=False) for n in range(70)],
                 [("orders", [f"a{n}" for n in range(70)])] * 3,
                 "repeats at orders",
             ),
         }
     )
-    def test_broken(self, case: tuple[Sequence[Sent], Sequence[Run], str]) -> None:
+    def test_violations(self, case: tuple[Sequence[SentAttempt], Sequence[Run], str]) -> None:
         sent, runs, expected = case
-        promises = Promises(list(sent), [(0.0, "moving-0"), (0.5, "moving-1")])
-        broken = promises.broken(_backends(runs))
+        checker = GuaranteeChecker(list(sent), [(0.0, "moving-0"), (0.5, "moving-1")])
+        violations = checker.violations(_backends(runs))
         if not expected:
-            self.assertEqual([], broken)
+            self.assertEqual([], violations)
             return
-        self.assertTrue(any(expected in one for one in broken), broken)
+        self.assertTrue(any(expected in one for one in violations), violations)
 
-    def test_another_requests_answer_is_found(self) -> None:
-        reply = Reply("a", 200, b"i-1 POST /x/2", None)
-        sent = Sent(0.0, 0, 1, True, "orders", "POST /x/1", reply)
-        broken = Promises([sent]).broken(_backends([("orders", ["a"])]))
-        self.assertIn("got another answer", broken[0])
+    def test_a_response_of_another_request_is_found(self) -> None:
+        result = AttemptResult("a", 200, b"i-1 POST /x/2", None)
+        sent = SentAttempt(0.0, 0, 1, True, "orders", "POST /x/1", result)
+        violations = GuaranteeChecker([sent]).violations(_backends([("orders", ["a"])]))
+        self.assertIn("got another answer", violations[0])
 
 
 class PlanTest(EgretrailTestCase):
@@ -100,17 +103,17 @@
     def test_faults_overlap(self) -> None:
         faults = plan(3, 60.0)
         pairs = itertools.pairwise(faults)
-        self.assertTrue(any(a.at_s + a.for_s > b.at_s for a, b in pairs))
+        self.assertTrue(any(a.at_s + a.duration_s > b.at_s for a, b in pairs))
 
 
 class DisturbancesTest(EgretrailTestCase):
     @cases({"before": (0.0, 0.9, False), "during": (1.2, 1.3, True), "after": (2.1, 3.0, False)})
-    def test_touch(self, case: tuple[float, float, bool]) -> None:
+    def test_overlaps(self, case: tuple[float, float, bool]) -> None:
         begin_s, end_s, expected = case
-        harmed = Disturbances()
-        harmed.add("store", 1.0, 2.0)
-        self.assertIs(expected, harmed.touch("store", begin_s, end_s))
-        self.assertFalse(harmed.touch("gateway-1", begin_s, end_s))
+        disturbances = DisturbanceLog()
+        disturbances.add_span("store", 1.0, 2.0)
+        self.assertIs(expected, disturbances.overlaps("store", begin_s, end_s))
+        self.assertFalse(disturbances.overlaps("gateway-1", begin_s, end_s))
 
 
 class LinkProxyTest(EgretrailTestCase):
@@ -120,11 +123,11 @@
             "delayed": (LinkFault.DELAYED, b"echo", True),
             "cut to the server": (LinkFault.CUT_TO_SERVER, None, False),
             "cut to the client": (LinkFault.CUT_TO_CLIENT, None, True),
-            "silent": (LinkFault.SILENT, None, False),
+            "blackholed": (LinkFault.BLACKHOLED, None, False),
             "reset": (LinkFault.RESET, b"", False),
         }
     )
-    def test_what_passes(self, case: tuple[LinkFault, bytes | None, bool]) -> None:
+    def test_forwarded_bytes(self, case: tuple[LinkFault, bytes | None, bool]) -> None:
         fault, expected, arrives = case
         arrived: list[bytes] = []
 
@@ -141,18 +144,18 @@
             host, _, port = proxy.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"echo")
-            got: bytes | None = None
+            received: bytes | None = None
             try:
                 async with asyncio.timeout(1.0):
-                    got = await reader.read(100)
+                    received = await reader.read(100)
             except TimeoutError:
-                got = None
+                received = None
             except ConnectionError:
-                got = b""
+                received = b""
             writer.close()
             await proxy.stop()
             server.close()
-            self.assertEqual(expected, got)
+            self.assertEqual(expected, received)
             self.assertEqual([b"echo"] if arrives else [], [one for one in arrived if one])
 
         self.run_real(run(), _LIMIT_S)
@@ -164,7 +167,7 @@
             fleet = GatewayFleet(2)
             try:
                 await asyncio.gather(fleet.start_gateway(0), fleet.start_gateway(0))
-                self.assertEqual(1, fleet.starts[0])
+                self.assertEqual(1, fleet.start_counts[0])
             finally:
                 await fleet.stop()
 
@@ -172,10 +175,10 @@
 
 
 class SeededRunTest(EgretrailTestCase):
-    def test_a_short_run_breaks_no_promise(self) -> None:
+    def test_a_short_run_violates_no_guarantee(self) -> None:
         async def run() -> None:
-            report = await Soak(5, 8.0, gateways=4, clients=6).run()
-            self.assertEqual([], list(report.broken))
+            report = await SoakRun(5, 8.0, gateways=4, clients=6).run()
+            self.assertEqual([], list(report.violations))
             self.assertGreater(report.statuses[200], 100)
 
         self.run_real(run(), _LIMIT_S)
@@ -185,7 +188,7 @@
         seed, length_s = case
 
         async def run() -> None:
-            report = await Soak(seed, length_s, gateways=6, clients=12).run()
-            self.assertEqual([], list(report.broken))
+            report = await SoakRun(seed, length_s, gateways=6, clients=12).run()
+            self.assertEqual([], list(report.violations))
 
         self.run_real(run(), _LIMIT_S)
--- a/scaffolding/tests/test_gateway_processes.py
+++ b/scaffolding/tests/test_gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes before stand-ins of the platform's store and backends."""
+"""Tests of real gateway processes with stand-ins for the platform's store and backends."""
 
 import asyncio
 import signal
@@ -7,44 +7,50 @@
 from scaffolding.platform import Behaviour, StandInBackend
 from scaffolding.platform.fleet import config, route
 from scaffolding.platform.store import StoreMode
-from scaffolding.tests.gateway_stage import ROUTES, GatewayTest, Stage
+from scaffolding.tests.gateway_harness import ROUTES, FleetHarness, GatewayTest
 
 
-class PathTest(GatewayTest):
-    def test_a_request_gets_its_own_answer_from_every_gateway(self) -> None:
-        async def act(stage: Stage) -> None:
+class ForwardingTest(GatewayTest):
+    def test_every_gateway_forwards_requests_and_their_responses(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
             for number in range(3):
-                reply = await stage.read(number, f"/read/{number}?q={number}")
-                self.assertEqual(200, reply.status)
-                self.assertTrue(reply.body.endswith(b"GET /read/%d?q=%d" % (number, number)))
-                self.assertEqual(1, stage.runs(reply))
-                order = await stage.order(number, b"x" * 5000)
-                self.assertEqual((200, 1), (order.status, stage.runs(order)))
-                seen = [b.seen.get(order.attempt) for b in stage.fleet.backends]
-                self.assertIn(("POST", "/order/1", b"x" * 5000), seen)
+                result = await harness.send_read(number, f"/read/{number}?q={number}")
+                self.assertEqual(200, result.status)
+                self.assertTrue(result.body.endswith(b"GET /read/%d?q=%d" % (number, number)))
+                self.assertEqual(1, harness.run_count(result))
+                order = await harness.send_order(number, b"x" * 5000)
+                self.assertEqual((200, 1), (order.status, harness.run_count(order)))
+                received = [b.received.get(order.attempt) for b in harness.fleet.backends]
+                self.assertIn(("POST", "/order/1", b"x" * 5000), received)
 
-        self.play(act)
+        self.run_scenario(scenario)
 
     def test_unknown_routes_get_404_and_a_directory_names_ready_gateways(self) -> None:
-        async def act(stage: Stage) -> None:
-            self.assertEqual(404, (await stage.read(0, "/nothing/1")).status)
+        async def scenario(harness: FleetHarness) -> None:
+            self.assertEqual(404, (await harness.send_read(0, "/nothing/1")).status)
 
             async def all_named() -> bool:
-                named = await stage.caller.ask_directory(stage.fleet.directory(0), "zone-a")
-                return set(named) == {stage.fleet.traffic(n) for n in range(3)}
+                addresses = await harness.client.resolve_addresses(
+                    harness.fleet.directory_address(0), "zone-a"
+                )
+                return set(addresses) == {harness.fleet.traffic_address(n) for n in range(3)}
 
-            await stage.until(all_named, "directory")
+            await harness.wait_until(all_named, "directory")
 
-        self.play(act)
+        self.run_scenario(scenario)
 
-    def test_backends_are_told_no_more_time_than_is_left(self) -> None:
-        async def act(stage: Stage) -> None:
-            reply = await stage.read(0, wait_s=1.5)
-            told = [b.told_ms[reply.attempt] for b in stage.fleet.backends if b.runs[reply.attempt]]
-            self.assertLessEqual(told[0], 1500)
-            self.assertGreater(told[0], 0)
+    def test_backends_get_a_deadline_of_at_most_the_remaining_time(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            result = await harness.send_read(0, wait_s=1.5)
+            stated = [
+                b.deadlines_ms[result.attempt]
+                for b in harness.fleet.backends
+                if b.runs[result.attempt]
+            ]
+            self.assertLessEqual(stated[0], 1500)
+            self.assertGreater(stated[0], 0)
 
-        self.play(act)
+        self.run_scenario(scenario)
 
 
 class FaultyBackendTest(GatewayTest):
@@ -53,236 +59,244 @@
             "failing": (Behaviour.FAILING, 500),
             "resetting": (Behaviour.RESETTING, 502),
             "truncating": (Behaviour.TRUNCATING, 502),
-            "nonsense": (Behaviour.NONSENSE, 502),
+            "nonsense": (Behaviour.MALFORMED, 502),
             "unsealed": (Behaviour.UNSEALED, 502),
             "shedding": (Behaviour.SHEDDING, 503),
-            "doubling": (Behaviour.DOUBLING, 200),
-            "crossing": (Behaviour.CROSSING, 200),
+            "doubling": (Behaviour.EXTRA_RESPONSE, 200),
+            "crossing": (Behaviour.STALE_RESPONSE, 200),
         }
     )
-    def test_orders_run_at_most_once_and_answers_are_true(
+    def test_orders_run_at_most_once_and_responses_are_correct(
         self, case: tuple[Behaviour, int]
     ) -> None:
         behaviour, status = case
 
-        async def act(stage: Stage) -> None:
-            for backend in stage.fleet.backends:
+        async def scenario(harness: FleetHarness) -> None:
+            for backend in harness.fleet.backends:
                 backend.behaviour = behaviour
             statuses = set()
             for number in range(6):
-                reply = await stage.order(number % 3, b"order %d" % number)
-                statuses.add(reply.status)
-                self.assertLessEqual(stage.runs(reply), 1)
-                if reply.status == 503:
-                    self.assertEqual(0, stage.runs(reply))
-                    self.assertIsNotNone(reply.retry_after_s)
-                if reply.status == 200:
-                    self.assertTrue(reply.body.endswith(b"POST /order/1"))
+                result = await harness.send_order(number % 3, b"order %d" % number)
+                statuses.add(result.status)
+                self.assertLessEqual(harness.run_count(result), 1)
+                if result.status == 503:
+                    self.assertEqual(0, harness.run_count(result))
+                    self.assertIsNotNone(result.retry_after_s)
+                if result.status == 200:
+                    self.assertTrue(result.body.endswith(b"POST /order/1"))
             self.assertIn(status, statuses)
             self.assertLessEqual(statuses, {status, 503})
 
-        self.play(act)
+        self.run_scenario(scenario)
 
     @cases({b.value: b for b in (Behaviour.FAILING, Behaviour.RESETTING, Behaviour.HANGING)})
     def test_reads_are_served_by_another_backend(self, behaviour: Behaviour) -> None:
-        async def act(stage: Stage) -> None:
-            stage.fleet.backends[0].behaviour = behaviour
+        async def scenario(harness: FleetHarness) -> None:
+            harness.fleet.backends[0].behaviour = behaviour
             for number in range(9):
-                self.assertEqual(200, (await stage.read(number % 3)).status)
+                self.assertEqual(200, (await harness.send_read(number % 3)).status)
 
-        self.play(act)
+        self.run_scenario(scenario)
 
 
 class LeavingTest(GatewayTest):
     @cases({"draining": "draining", "removed": "removed"})
-    def test_a_leaving_backend_gets_no_new_work(self, how: str) -> None:
-        async def act(stage: Stage) -> None:
-            leaving = stage.fleet.backends[0]
+    def test_a_draining_or_removed_backend_gets_no_new_requests(self, how: str) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            backend = harness.fleet.backends[0]
             if how == "draining":
-                stage.fleet.store.write(f"servers/{leaving.id}", leaving.record("draining"))
+                harness.fleet.store.write(f"servers/{backend.id}", backend.record("draining"))
             else:
-                stage.fleet.store.remove(f"servers/{leaving.id}")
+                harness.fleet.store.remove(f"servers/{backend.id}")
 
-            async def told() -> bool:
-                return all(f"upstream={leaving.id}" in stage.fleet.log(n) for n in range(3))
+            async def logged() -> bool:
+                return all(f"upstream={backend.id}" in harness.fleet.read_log(n) for n in range(3))
 
-            await stage.until(told, "all gateways know")
-            before = sum(leaving.runs.values())
+            await harness.wait_until(logged, "all gateways know")
+            before = sum(backend.runs.values())
             for number in range(30):
-                self.assertEqual(200, (await stage.read(number % 3)).status)
-            self.assertEqual(before, sum(leaving.runs.values()))
+                self.assertEqual(200, (await harness.send_read(number % 3)).status)
+            self.assertEqual(before, sum(backend.runs.values()))
 
-        self.play(act)
+        self.run_scenario(scenario)
 
     @cases({"after a drain": True, "after a crash": False})
     def test_a_backend_that_starts_again_under_its_id_gets_work(self, drained: bool) -> None:
-        async def act(stage: Stage) -> None:
-            old = stage.fleet.backends[0]
+        async def scenario(harness: FleetHarness) -> None:
+            old = harness.fleet.backends[0]
             key = f"servers/{old.id}"
             if drained:
-                stage.fleet.store.write(key, {**old.record("draining"), "born": 1_000})
+                harness.fleet.store.write(key, {**old.record("draining"), "born": 1_000})
             await old.stop()
             new = StandInBackend(old.service, old.zone, id=old.id, born=2_000)
             await new.start()
-            stage.fleet.backends.append(new)
-            stage.fleet.store.write(key, new.record())
-            # A word of the old lifetime that the store takes late.
-            stage.fleet.store.write(key, {**old.record("draining"), "born": 1_000})
+            harness.fleet.backends.append(new)
+            harness.fleet.store.write(key, new.record())
+            # A late write of the old lifetime, which must not make the new one drain.
+            harness.fleet.store.write(key, {**old.record("draining"), "born": 1_000})
 
-            async def works() -> bool:
-                await asyncio.gather(*(stage.read(number % 3) for number in range(12)))
+            async def gets_work() -> bool:
+                await asyncio.gather(*(harness.send_read(number % 3) for number in range(12)))
                 return sum(new.runs.values()) >= 3
 
-            await stage.until(works, "the new lifetime gets work")
+            await harness.wait_until(gets_work, "the new lifetime gets work")
             before = sum(old.runs.values())
             for number in range(12):
-                await stage.read(number % 3)
+                await harness.send_read(number % 3)
             self.assertEqual(before, sum(old.runs.values()))
 
-        self.play(act)
+        self.run_scenario(scenario)
 
-    def test_a_stopped_gateway_finishes_its_work_and_leaves_the_directory(self) -> None:
-        async def act(stage: Stage) -> None:
-            for backend in stage.fleet.backends:
+    def test_a_stopped_gateway_finishes_its_requests_and_leaves_the_directory(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            for backend in harness.fleet.backends:
                 backend.work_s = 0.6
-            under_way = [asyncio.create_task(stage.order(0)) for _ in range(4)]
+            in_flight = [asyncio.create_task(harness.send_order(0)) for _ in range(4)]
             await asyncio.sleep(0.3)
-            stage.fleet.kill(0, signal.SIGTERM)
+            harness.fleet.signal_gateway(0, signal.SIGTERM)
 
             async def left() -> bool:
-                named = await stage.caller.ask_directory(stage.fleet.directory(1), "zone-b")
-                ready = await stage.caller.is_ready(stage.fleet.ready(0))
-                return stage.fleet.traffic(0) not in named and not ready
-
-            await stage.until(left, "left")
-            late = await stage.order(0)
-            # Taken for half of the grace, and truly refused later.
-            self.assertIn((late.status, stage.runs(late)), [(200, 1), (503, 0)])
-            for task in under_way:
+                addresses = await harness.client.resolve_addresses(
+                    harness.fleet.directory_address(1), "zone-b"
+                )
+                ready = await harness.client.is_ready(harness.fleet.readiness_address(0))
+                return harness.fleet.traffic_address(0) not in addresses and not ready
+
+            await harness.wait_until(left, "left")
+            late = await harness.send_order(0)
+            # New requests are accepted for half of the grace period, and refused unexecuted later.
+            self.assertIn((late.status, harness.run_count(late)), [(200, 1), (503, 0)])
+            for task in in_flight:
                 self.assertEqual(200, (await task).status)
-            self.assertEqual(0, await stage.fleet.exit_code(0))
+            self.assertEqual(0, await harness.fleet.exit_code(0))
 
-        self.play(act)
+        self.run_scenario(scenario)
 
 
 class ConfigurationTest(GatewayTest):
-    def test_a_new_version_is_in_force_everywhere_and_an_older_or_broken_one_nowhere(self) -> None:
-        async def act(stage: Stage) -> None:
-            store = stage.fleet.store
+    def test_only_a_newer_valid_version_comes_into_force(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            store = harness.fleet.store
             store.write("op/config", config(5, [*ROUTES, route("new", "/new/", "catalogue")]))
 
-            async def everywhere() -> bool:
-                replies = [await stage.read(n, "/new/1") for n in range(3)]
-                return all(reply.status == 200 for reply in replies)
+            async def in_force_everywhere() -> bool:
+                results = [await harness.send_read(n, "/new/1") for n in range(3)]
+                return all(result.status == 200 for result in results)
 
-            await stage.until(everywhere, "in force")
+            await harness.wait_until(in_force_everywhere, "in force")
             store.write("op/config", config(4, ROUTES))
             store.write("op/config", {"version": "00000009", "routes": "none"})
 
             async def refused() -> bool:
-                return any("config_refused" in stage.fleet.log(n) for n in range(3))
+                return any("config_refused" in harness.fleet.read_log(n) for n in range(3))
 
-            await stage.until(refused, "refused")
-            self.assertTrue(await everywhere())
+            await harness.wait_until(refused, "refused")
+            self.assertTrue(await in_force_everywhere())
 
-        self.play(act)
+        self.run_scenario(scenario)
 
-    def test_thousands_of_routes_and_their_changes_reach_all_and_one_that_starts(self) -> None:
-        async def act(stage: Stage) -> None:
-            store = stage.fleet.store
+    def test_large_configurations_reach_all_gateways_and_a_restarted_one(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            store = harness.fleet.store
             many = [route(f"r{n}", f"/many/{n}/", "catalogue") for n in range(3_000)]
             for version in range(5, 15):
                 rows = [*ROUTES, *many, route("new", f"/new/{version}/", "catalogue")]
                 store.write("op/config", config(version, rows))
                 if version == 9:
-                    stage.fleet.kill(3)
-                    await stage.fleet.exit_code(3)
-                    await stage.fleet.start_gateway(3)
+                    harness.fleet.signal_gateway(3)
+                    await harness.fleet.exit_code(3)
+                    await harness.fleet.start_gateway(3)
                 await asyncio.sleep(0.1)
 
-            async def everywhere() -> bool:
-                replies = [await stage.read(n, "/new/14/1") for n in range(4)]
-                return all(reply.status == 200 for reply in replies)
+            async def in_force_everywhere() -> bool:
+                results = [await harness.send_read(n, "/new/14/1") for n in range(4)]
+                return all(result.status == 200 for result in results)
 
-            await stage.until(everywhere, "in force")
+            await harness.wait_until(in_force_everywhere, "in force")
             for number in range(4):
-                self.assertEqual(200, (await stage.read(number, "/many/2999/1")).status)
-                self.assertEqual(404, (await stage.read(number, "/new/5/1")).status)
-                self.assertNotIn("task_failed", stage.fleet.log(number))
-                self.assertIn("routes=3003 behind_s", stage.fleet.log(number))
-
-        self.play(act, count=4)
-
-    def test_gateways_serve_and_start_while_the_store_is_away(self) -> None:
-        async def act(stage: Stage) -> None:
-            stage.fleet.store.mode = StoreMode.BUSY
-            stage.fleet.kill(2)
-            await stage.fleet.exit_code(2)
-            await stage.fleet.start_gateway(2)
-            await stage.until_ready(2)
+                self.assertEqual(200, (await harness.send_read(number, "/many/2999/1")).status)
+                self.assertEqual(404, (await harness.send_read(number, "/new/5/1")).status)
+                self.assertNotIn("task_failed", harness.fleet.read_log(number))
+                self.assertIn("routes=3003 behind_s", harness.fleet.read_log(number))
+
+        self.run_scenario(scenario, count=4)
+
+    def test_gateways_serve_and_start_while_the_store_is_unavailable(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            harness.fleet.store.mode = StoreMode.UNAVAILABLE
+            harness.fleet.signal_gateway(2)
+            await harness.fleet.exit_code(2)
+            await harness.fleet.start_gateway(2)
+            await harness.wait_until_ready(2)
             for number in range(3):
-                self.assertEqual(200, (await stage.read(number)).status)
+                self.assertEqual(200, (await harness.send_read(number)).status)
 
-        self.play(act)
+        self.run_scenario(scenario)
 
-    def test_gateways_that_the_store_turns_away_learn_from_the_others(self) -> None:
-        async def act(stage: Stage) -> None:
-            # The gateways of one zone, which read the store for themselves otherwise.
+    def test_gateways_rejected_by_the_store_get_the_configuration_from_peers(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            # All gateways of one zone, which otherwise read the store themselves.
             for number in (0, 2):
-                stage.fleet.store.modes[stage.fleet.store_host(number)] = StoreMode.BUSY
+                harness.fleet.store.mode_overrides[harness.fleet.store_host(number)] = (
+                    StoreMode.UNAVAILABLE
+                )
             version = config(7, [*ROUTES, route("new", "/new/", "catalogue")])
-            stage.fleet.store.write("op/config", version)
+            harness.fleet.store.write("op/config", version)
 
-            async def everywhere() -> bool:
-                replies = [await stage.read(n, "/new/1") for n in range(4)]
-                return all(reply.status == 200 for reply in replies)
+            async def in_force_everywhere() -> bool:
+                results = [await harness.send_read(n, "/new/1") for n in range(4)]
+                return all(result.status == 200 for result in results)
 
-            await stage.until(everywhere, "in force")
+            await harness.wait_until(in_force_everywhere, "in force")
 
             async def logged() -> bool:
-                return all("version=7 before" in stage.fleet.log(number) for number in (0, 2))
+                return all(
+                    "version=7 before" in harness.fleet.read_log(number) for number in (0, 2)
+                )
 
-            await stage.until(logged, "logged")
+            await harness.wait_until(logged, "logged")
             for number in (0, 2):
-                [line] = [x for x in stage.fleet.log(number).splitlines() if "version=7 be" in x]
+                [line] = [
+                    x for x in harness.fleet.read_log(number).splitlines() if "version=7 be" in x
+                ]
                 self.assertIn('source="peer ', line)
 
-        self.play(act, count=4)
+        self.run_scenario(scenario, count=4)
 
-    def test_a_lost_history_is_read_again(self) -> None:
-        async def act(stage: Stage) -> None:
-            store = stage.fleet.store
+    def test_a_discarded_history_causes_one_new_read(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            store = harness.fleet.store
             store.write("op/other", {})
-            store.forget_history()
+            store.discard_history()
             store.write("op/config", config(8, [*ROUTES, route("new", "/new/", "catalogue")]))
 
-            async def everywhere() -> bool:
-                return (await stage.read(1, "/new/1")).status == 200
+            async def in_force_everywhere() -> bool:
+                return (await harness.send_read(1, "/new/1")).status == 200
 
-            await stage.until(everywhere, "in force")
-            calls = sum(store.calls.values())
+            await harness.wait_until(in_force_everywhere, "in force")
+            calls = sum(store.call_counts.values())
             await asyncio.sleep(1.0)
-            self.assertLess(sum(store.calls.values()) - calls, 10)
+            self.assertLess(sum(store.call_counts.values()) - calls, 10)
 
-        self.play(act)
+        self.run_scenario(scenario)
 
 
-class ClientLeavesTest(GatewayTest):
-    def test_work_ends_when_its_client_has_left(self) -> None:
-        async def act(stage: Stage) -> None:
-            for backend in stage.fleet.backends:
+class ClientDisconnectTest(GatewayTest):
+    def test_a_run_is_cancelled_when_its_client_disconnects(self) -> None:
+        async def scenario(harness: FleetHarness) -> None:
+            for backend in harness.fleet.backends:
                 backend.work_s = 30.0
-            waiting = asyncio.create_task(stage.read(0, wait_s=30.0))
+            waiting = asyncio.create_task(harness.send_read(0, wait_s=30.0))
 
-            async def begun() -> bool:
-                return any(backend.runs for backend in stage.fleet.backends)
+            async def is_running() -> bool:
+                return any(backend.runs for backend in harness.fleet.backends)
 
-            await stage.until(begun, "begun")
+            await harness.wait_until(is_running, "begun")
             waiting.cancel()
 
             async def cancelled() -> bool:
-                return any(backend.cancelled for backend in stage.fleet.backends)
+                return any(backend.cancelled for backend in harness.fleet.backends)
 
-            await stage.until(cancelled, "cancelled")
+            await harness.wait_until(cancelled, "cancelled")
 
-        self.play(act)
+        self.run_scenario(scenario)
--- a/scaffolding/tests/test_platform_store.py
+++ b/scaffolding/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the store, against the stand-in of the store."""
+"""Tests of the client of the platform's store against a stand-in store."""
 
 import asyncio
 import base64
@@ -20,7 +20,7 @@
 
 @contextlib.asynccontextmanager
 async def _served(store: StandInStore) -> AsyncIterator[PlatformStore]:
-    """Serve a store over HTTP, for one client."""
+    """Serve a store over HTTP and yield a client of it."""
     runner = web.AppRunner(store.app())
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -43,7 +43,7 @@
         return self.run_real(run())
 
     @cases({"no text": b"\xff\xfe{}", "nothing": b"", "a zero": b"\x00", "text": b"garbage"})
-    def test_an_entry_of_any_bytes_hides_no_other(self, data: bytes) -> None:
+    def test_an_undecodable_entry_does_not_hide_others(self, data: bytes) -> None:
         store = StandInStore()
         store.write("servers/a", {"slots": 1})
         store.write_bytes("servers/b", data)
@@ -55,21 +55,21 @@
 
 
 class RestoreTest(EgretrailTestCase):
-    def test_revisions_rise_and_conditions_on_old_ones_fail(self) -> None:
+    def test_revisions_increase_after_a_restore_and_conditions_on_old_ones_fail(self) -> None:
         store = StandInStore()
         store.write("x/a", 1)
-        copy = store.copy()
+        backup = store.take_backup()
         store.write("x/b", 2)
 
-        async def act(client: PlatformStore) -> None:
+        async def check(client: PlatformStore) -> None:
             before = await client.snapshot("x/")
             assert isinstance(before, Ok)
             old = before.ok_value.revision
             waiting = asyncio.create_task(client.watch("x/", old, 5.0))
             await asyncio.sleep(0.1)
-            store.restore(copy)
+            store.restore(backup)
             self.assertIsInstance((await waiting).err(), HistoryLost)
-            # The same number as that of the lost entry.
+            # This write gets the revision number of the lost entry.
             store.write("x/c", 3)
             self.assertIsInstance((await client.watch("x/", old, 0.1)).err(), HistoryLost)
             after = await client.snapshot("x/")
@@ -77,16 +77,16 @@
             self.assertGreater(after.ok_value.revision, old)
             self.assertEqual(["x/a", "x/c"], [entry.path for entry in after.ok_value.entries])
             [_, entry] = after.ok_value.entries
-            calls = store.calls["/api/kv-txn"]
+            calls = store.call_counts["/api/kv-txn"]
             lost = before.ok_value.entries[1].revision
             refused = await client.put("x/c", "4", lost)
             self.assertIsInstance(refused.err(), RevisionConflict)
-            self.assertEqual(calls, store.calls["/api/kv-txn"])
+            self.assertEqual(calls, store.call_counts["/api/kv-txn"])
             self.assertIsInstance(await client.put("x/c", "4", entry.revision), Ok)
 
         async def run() -> None:
             async with _served(store) as client:
-                await act(client)
+                await check(client)
 
         self.run_real(run())
 
@@ -115,9 +115,9 @@
         self.run_real(run())
 
 
-class SilentPathTest(EgretrailTestCase):
-    def test_a_path_that_falls_silent_under_a_watch_is_noticed(self) -> None:
-        """A watch was trusted for nine seconds, whatever became of its connection."""
+class KeepaliveTest(EgretrailTestCase):
+    def test_a_connection_that_fails_silently_during_a_watch_is_detected(self) -> None:
+        """Guards against a dead connection of a watch that goes unnoticed for nine seconds."""
 
         async def run() -> float:
             opened: list[ClientConnection] = []
@@ -150,8 +150,8 @@
 
 
 class SlowStoreTest(EgretrailTestCase):
-    def test_a_store_that_answers_after_more_than_a_second_is_read(self) -> None:
-        """Each call gave up after the same second, so that nothing was ever read."""
+    def test_a_store_that_responds_after_more_than_a_second_is_read(self) -> None:
+        """Guards against a fixed time-out of 1 s, with which a slower store is never read."""
 
         async def answer(request: web.Request) -> web.Response:
             await asyncio.sleep(1.3)
@@ -166,14 +166,14 @@
 
 
 class SlowLinkTest(EgretrailTestCase):
-    """Large values over slow links.
+    """Guards against a fixed time-out for the whole of a response.
 
-    A configuration of a megabyte takes a link of 5 Mbit/s more than two seconds. Each read was
-    ended after one, however much of it had come, and so was every read after it.
+    A configuration of a megabyte takes more than two seconds over a link of 5 Mbit/s. With a
+    time-out of one second for the whole response, each read ended early, however much had arrived.
     """
 
     def _read(
-        self, value: bytes, pieces: int, *, pause_s: float, last_s: float
+        self, value: bytes, chunks: int, *, pause_s: float, last_s: float
     ) -> Result[Entry | None, PlatformFailure]:
         item = {"key": "k", "value": base64.b64encode(value).decode(), "revision": 7}
         body = json.dumps({**item, "createdAt": 7, "lease": 0, "currentRev": 7}).encode()
@@ -181,7 +181,7 @@
         async def answer(request: web.Request) -> web.StreamResponse:
             response = web.StreamResponse(headers={"Content-Length": str(len(body))})
             await response.prepare(request)
-            step = -(-len(body) // pieces)
+            step = -(-len(body) // chunks)
             for start in range(0, len(body), step):
                 last = start + step >= len(body)
                 await asyncio.sleep(last_s if last else pause_s)
@@ -194,14 +194,14 @@
 
         return self.run_real(run())
 
-    def test_a_value_arrives_while_its_bytes_do(self) -> None:
+    def test_a_large_value_is_read_while_its_bytes_arrive(self) -> None:
         value = b"x" * 600_000
         read = self._read(value, 15, pause_s=0.1, last_s=0.1)
         assert isinstance(read, Ok)
         assert read.ok_value is not None
         self.assertEqual(value.decode(), read.ok_value.value)
 
-    def test_a_store_that_falls_silent_is_given_up(self) -> None:
+    def test_a_read_fails_when_the_store_stops_sending(self) -> None:
         self.assertIsInstance(self._read(b"x" * 600_000, 3, pause_s=0.01, last_s=30.0), Err)
 
 
@@ -209,7 +209,7 @@
 async def _store_of_one_value(
     answer: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> AsyncIterator[PlatformStore]:
-    """Serve one value in a way of the test's own, and yield a client."""
+    """Serve one value with the given handler, and yield a client."""
     app = web.Application()
     app.add_routes([web.get("/api/kv-key", answer)])
     runner = web.AppRunner(app, shutdown_timeout=0.1)
