--- a/scaffolding/platform/client.py
+++ b/scaffolding/platform/client.py
@@ -34,31 +34,31 @@
     async def resolve_addresses(self, address: str, zone: str) -> list[str]:
         """Return the addresses in a directory's response; empty unless its status is 200."""
         target = f"/api/resolve?name={self.host}&region=r&zone={zone}"
-        answer = await self._exchange(address, b"GET", target.encode(), [], b"")
-        if answer is None or answer.status != 200:
+        response = await self._exchange(address, b"GET", target.encode(), [], b"")
+        if response is None or response.status != 200:
             return []
-        return [str(one) for one in json.loads(answer.body)["addresses"]]
+        return [str(one) for one in json.loads(response.body)["addresses"]]
 
     async def resolve_ttl(self, address: str, zone: str) -> str | None:
         """Return the TTL of a directory's response, as text; None unless its status is 200."""
         target = f"/api/resolve?name={self.host}&region=r&zone={zone}"
-        answer = await self._exchange(address, b"GET", target.encode(), [], b"")
-        if answer is None or answer.status != 200:
+        response = await self._exchange(address, b"GET", target.encode(), [], b"")
+        if response is None or response.status != 200:
             return None
-        return str(json.loads(answer.body)["ttl"])
+        return str(json.loads(response.body)["ttl"])
 
     async def read_metric(self, address: str, name: str) -> float | None:
         """Return the value of a metric; None if the gateway does not report it."""
-        answer = await self._exchange(address, b"GET", b"/", [], b"")
-        for line in answer.body.decode().splitlines() if answer is not None else ():
+        response = await self._exchange(address, b"GET", b"/", [], b"")
+        for line in response.body.decode().splitlines() if response is not None else ():
             if line.startswith(f"{name} "):
                 return float(line.rpartition(" ")[2])
         return None
 
     async def is_ready(self, address: str) -> bool:
         """Return whether an instance responds that it is ready."""
-        answer = await self._exchange(address, b"GET", b"/api/ready", [], b"")
-        return answer is not None and answer.status == 200
+        response = await self._exchange(address, b"GET", b"/api/ready", [], b"")
+        return response is not None and response.status == 200
 
     async def send(
         self, address: str, method: str, target: str, body: bytes = b"", wait_s: float = 3.0
@@ -69,14 +69,14 @@
             (b"X-Egretrail-Attempt-Id", attempt.encode()),
             (b"X-Egretrail-Request-Deadline", b"%d" % round(wait_s * 1000)),
         ]
-        answer = await self._exchange(
+        response = await self._exchange(
             address, method.encode(), target.encode(), fields, body, wait_s + 1.0
         )
-        if answer is None:
+        if response is None:
             return AttemptResult(attempt, 0, b"", None)
-        stated = answer.value(b"retry-after")
+        stated = response.value(b"retry-after")
         retry_after_s = float(stated) if stated is not None else None
-        return AttemptResult(attempt, answer.status, answer.body, retry_after_s)
+        return AttemptResult(attempt, response.status, response.body, retry_after_s)
 
     async def _exchange(
         self,
--- a/scaffolding/soak/_client.py
+++ b/scaffolding/soak/_client.py
@@ -39,7 +39,7 @@
             return AttemptResult(attempt, 0, b"", None), is_new
         try:
             async with asyncio.timeout(wait_s + 1.0):
-                answer = await connection.exchange(data)
+                response = await connection.exchange(data)
         except (ExchangeFailed, TimeoutError):
             connection.abort()
             return AttemptResult(attempt, 0, b"", None), is_new
@@ -47,7 +47,7 @@
             self._idle.setdefault(address, []).append(connection)
         else:
             connection.abort()
-        return AttemptResult(attempt, answer.status, answer.body, None), is_new
+        return AttemptResult(attempt, response.status, response.body, None), is_new
 
     def close(self) -> None:
         """Close all idle connections."""
--- a/src/egretrail/cli/_output.py
+++ b/src/egretrail/cli/_output.py
@@ -34,7 +34,7 @@
     is_flag=True,
     expose_value=False,
     callback=_set_json,
-    help="Print the answer, or the problem, as JSON.",
+    help="Print the response, or the problem, as JSON.",
 )
 
 
@@ -52,11 +52,11 @@
     sys.exit(ExitCode.LOST_RACE if lost_race else ExitCode.REFUSED)
 
 
-def unwrap(context: Context, answer: Result[Any, CallFailure]) -> Any:
+def unwrap(context: Context, response: Result[Any, CallFailure]) -> Any:
     """Return the document of a successful call, or print the failure and exit."""
-    if isinstance(answer, Err):
-        fail(context, answer.err_value)
-    return answer.ok_value
+    if isinstance(response, Err):
+        fail(context, response.err_value)
+    return response.ok_value
 
 
 def print_json(document: object) -> None:
--- a/src/egretrail/cli/_settings.py
+++ b/src/egretrail/cli/_settings.py
@@ -193,14 +193,14 @@
 def _send_write(
     context: Context, method: str, path: str, query: Mapping[str, str], text: str
 ) -> Result[Any, CallFailure]:
-    answer = context.client.call(method, f"/v1/settings/{path}", query, text)
+    response = context.client.call(method, f"/v1/settings/{path}", query, text)
     for _ in range(_WRITE_ATTEMPTS - 1):
-        if not (isinstance(answer, Err) and isinstance(answer.err_value, Unreachable)):
+        if not (isinstance(response, Err) and isinstance(response.err_value, Unreachable)):
             break
-        answer = context.client.call(method, f"/v1/settings/{path}", query, text)
-    if isinstance(answer, Err) and isinstance(answer.err_value, Unreachable):
+        response = context.client.call(method, f"/v1/settings/{path}", query, text)
+    if isinstance(response, Err) and isinstance(response.err_value, Unreachable):
         click.echo(f"egretrail: send it again with --change-id {query['change_id']}", err=True)
-    return answer
+    return response
 
 
 def _report_accepted(context: Context, accepted: Any, wait_limit_s: float) -> None:
@@ -235,5 +235,5 @@
     if status["lack"]:
         text += f"\nnot yet on: {', '.join(status['lack'])}"
     if status["silent"]:
-        text += f"\ndid not answer: {', '.join(status['silent'])}"
+        text += f"\ndid not response: {', '.join(status['silent'])}"
     return text
--- a/src/egretrail/platform/_contract.py
+++ b/src/egretrail/platform/_contract.py
@@ -79,49 +79,49 @@
             fields.append((_ACCOUNT, account.encode()))
         return fields
 
-    def belongs(self, answer: ReceivedAnswer, attempt_id: str) -> bool:
+    def belongs(self, response: ReceivedAnswer, attempt_id: str) -> bool:
         """Return whether a response belongs to a client attempt.
 
         A response without an attempt id is taken to belong to the attempt.
         """
-        stated = answer.value(_ATTEMPT_ID)
+        stated = response.value(_ATTEMPT_ID)
         return stated is None or _decode_header(stated) == attempt_id
 
-    def kind(self, answer: ReceivedAnswer) -> AnswerKind:
+    def kind(self, response: ReceivedAnswer) -> AnswerKind:
         """Classify an upstream's response."""
-        if answer.status == 421:
+        if response.status == 421:
             return AnswerKind.WRONG_UPSTREAM
-        if answer.value(_NOT_EXECUTED) is not None:
+        if response.value(_NOT_EXECUTED) is not None:
             return AnswerKind.NOT_RUN
-        if answer.value(b"content-encoding") is not None:
+        if response.value(b"content-encoding") is not None:
             # Clients request no content encoding, so an encoded body is not the upstream's own.
             return AnswerKind.INVALID
-        sealed = answer.value(_RESPONSE_SEAL) is not None
-        if answer.status == 504:
+        sealed = response.value(_RESPONSE_SEAL) is not None
+        if response.status == 504:
             # An upstream stops work at the deadline that it was given.
             return AnswerKind.EXPIRED
-        if answer.status >= 500:
+        if response.status >= 500:
             return AnswerKind.FAILED
-        if answer.status < 300 and not sealed:
+        if response.status < 300 and not sealed:
             return AnswerKind.INVALID
-        if answer.status in _NOT_EXECUTED_STATUSES:
+        if response.status in _NOT_EXECUTED_STATUSES:
             # Without the not-executed header the request may have been executed.
             return AnswerKind.FAILED
         return AnswerKind.SERVED
 
-    def reported_load(self, answer: ReceivedAnswer) -> ReportedLoad | None:
+    def reported_load(self, response: ReceivedAnswer) -> ReportedLoad | None:
         """Return the load that a response reports; None if it reports none or is malformed."""
-        parts = (answer.value(_BACKEND_LOAD) or b"").split(b",")
+        parts = (response.value(_BACKEND_LOAD) or b"").split(b",")
         if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
             return None
         return ReportedLoad(running=int(parts[0]), waiting=int(parts[1]))
 
-    def named_limit(self, answer: ReceivedAnswer) -> Result[float | None, InvalidLimit]:
+    def named_limit(self, response: ReceivedAnswer) -> Result[float | None, InvalidLimit]:
         """Return the requests per second that the upstream accepts from all instances together.
 
         The result is None when the response states no limit.
         """
-        stated = answer.value(_RATE_LIMIT)
+        stated = response.value(_RATE_LIMIT)
         if stated is None:
             return Ok(None)
         try:
--- a/src/egretrail/platform/_layout.py
+++ b/src/egretrail/platform/_layout.py
@@ -71,15 +71,15 @@
 def _decode_upstream_record(fields: TableReader, entry: Entry, faults: list[str]) -> UpstreamRecord:
     # Checked for presence only: an entry without these was not written by an upstream.
     fields.text("version")
-    fields.whole("seq")
+    fields.integer("seq")
     stated = fields.text("state")
     if stated not in _UPSTREAM_STATES:
         faults.append(f"{entry.path}.state: unknown state {stated!r}")
-    slots = fields.whole("slots")
+    slots = fields.integer("slots")
     if slots < 1:
         faults.append(f"{entry.path}.slots: {slots}")
     # Start time in Unix milliseconds; entries written by earlier versions do not have it.
-    started_ms = fields.whole("born", 0)
+    started_ms = fields.integer("born", 0)
     if started_ms < 0:
         faults.append(f"{entry.path}.born: {started_ms}")
     address = fields.text("address")
@@ -92,7 +92,7 @@
         availability_zone=fields.text("zone"),
         slots=slots,
         state=_UPSTREAM_STATES.get(stated, UpstreamState.DRAINING),
-        warmup_s=fields.time_s("warmupLeft"),
+        warmup_s=fields.duration_s("warmupLeft"),
         revision=entry.revision,
         started_ms=started_ms,
     )
@@ -130,7 +130,7 @@
         faults.append("config.version: not hexadecimal")
         version = 0
     accounts = None
-    if fields.has("tenants"):
+    if fields.is_present("tenants"):
         accounts = yield from _decode_accounts(fields, faults)
     return FleetConfig(
         version, routes, services, _decode_client_limits(fields.table("limits")), accounts
@@ -174,7 +174,7 @@
     return ClientAccount(
         name=name,
         key_digests=tuple(dict.fromkeys(key_digest(key.encode()) for key in usable)),
-        priority=fields.whole("priority", 0) if fields.has("priority") else None,
+        priority=fields.integer("priority", 0) if fields.is_present("priority") else None,
         rate_per_s=rate_per_s,
         burst=burst,
     )
@@ -189,7 +189,7 @@
         name=fields.text("name"),
         health_path=fields.text("healthPath", "/health"),
         # The limit applies to the connections of all callers of one upstream together.
-        max_connections=fields.whole("maxConns", 1_000),
+        max_connections=fields.integer("maxConns", 1_000),
     )
 
 
@@ -198,7 +198,7 @@
     prefix = fields.text("prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
         faults.append(f"route {name}: prefix {prefix!r}")
-    timeout_s = fields.time_s("timeout")
+    timeout_s = fields.duration_s("timeout")
     return Route(
         name=name,
         # Thousands of routes share a few hosts and services, so interning saves memory.
@@ -206,18 +206,18 @@
         prefix=prefix,
         kind=_ROUTE_KINDS.get(fields.text("routeType"), RouteKind.AT_MOST_ONCE),
         timeout_s=timeout_s,
-        objective_s=fields.time_s("targetLatency", f"{timeout_s}s"),
-        priority=fields.whole("priority", 0),
-        max_attempts=max(fields.whole("maxAttempts", 1), 1),
+        objective_s=fields.duration_s("targetLatency", f"{timeout_s}s"),
+        priority=fields.integer("priority", 0),
+        max_attempts=max(fields.integer("maxAttempts", 1), 1),
         parts=_decode_traffic_split(fields, name, faults),
-        is_public=fields.flag("public"),
+        is_public=fields.boolean("public"),
     )
 
 
 def _decode_traffic_split(
     fields: TableReader, route: str, faults: list[str]
 ) -> Sequence[WeightedService]:
-    if not fields.has("trafficSplit"):
+    if not fields.is_present("trafficSplit"):
         return (WeightedService(sys.intern(fields.text("service")), 1.0),)
     rows = [TableReader(row, f"route {route}", faults) for row in fields.rows("trafficSplit")]
     parts = [WeightedService(row.text("service"), row.number("weight")) for row in rows]
@@ -230,8 +230,8 @@
 def _decode_client_limits(fields: TableReader) -> ClientLimits:
     default = ClientLimits()
     return ClientLimits(
-        header_bytes=fields.whole("maxHeaderBytes", default.header_bytes),
-        body_bytes=fields.whole("maxBodyBytes", default.body_bytes),
-        header_timeout_s=fields.time_s("headerTimeout", f"{default.header_timeout_s}s"),
-        idle_timeout_s=fields.time_s("idleTimeout", f"{default.idle_timeout_s}s"),
+        header_bytes=fields.integer("maxHeaderBytes", default.header_bytes),
+        body_bytes=fields.integer("maxBodyBytes", default.body_bytes),
+        header_timeout_s=fields.duration_s("headerTimeout", f"{default.header_timeout_s}s"),
+        idle_timeout_s=fields.duration_s("idleTimeout", f"{default.idle_timeout_s}s"),
     )
--- a/src/egretrail/platform/_node_file.py
+++ b/src/egretrail/platform/_node_file.py
@@ -68,20 +68,20 @@
         # The ports belong to an interface that this program does not serve; only the IPs are used.
         seeds=[str(seed).rpartition(":")[0] for seed in network.rows("seeds")],
         store_address=file.table("platform").table("platform").text("address"),
-        memory_mb=limits.whole("memoryMb", 300),
+        memory_mb=limits.integer("memoryMb", 300),
         # ``cores`` is the speed of the single core, of which the process gets a share.
         capacity=limits.number("cpuShare", 1.0) * limits.number("cores", 1.0),
-        stop_grace_s=bounds.time_s("grace", "6s"),
-        directory_ttl_max_s=bounds.time_s("ttl_max", "5s"),
+        stop_grace_s=bounds.duration_s("grace", "6s"),
+        directory_ttl_max_s=bounds.duration_s("ttl_max", "5s"),
         repeat_ratio=bounds.number("retryBudgetRatio", 0.1),
-        repeat_window_s=bounds.time_s("budgetWindow", "10s"),
+        repeat_window_s=bounds.duration_s("budgetWindow", "10s"),
         repeat_slack=bounds.number("budgetSlack", 0.0),
         quota_terms=QuotaTerms(
-            window_s=bounds.time_s("quotaWindow", "5s"),
+            window_s=bounds.duration_s("quotaWindow", "5s"),
             over=bounds.number("quotaOver", 0.0),
             slack=bounds.number("quotaSlack", 0.0),
         ),
-        revocation_s=bounds.time_s("revoke") if bounds.flag("strictRevoke") else None,
+        revocation_s=bounds.duration_s("revoke") if bounds.boolean("strictRevoke") else None,
     )
     network.check("seeds", all(_is_ip(seed) for seed in settings.seeds), "not all are IP:PORT")
     store = file.table("platform").table("platform")
--- a/src/egretrail/platform/_store.py
+++ b/src/egretrail/platform/_store.py
@@ -92,12 +92,12 @@
         reply = await self._call("GET", f"/api/kv-key?key={quote(path, safe='')}", call)
         if isinstance(reply, Err):
             return reply
-        answer = reply.ok_value
-        if answer.status == 404:
+        response = reply.ok_value
+        if response.status == 404:
             return Ok(None)
-        if answer.status != 200:
-            return Err(_refused(call, answer.status))
-        return _decode(call, lambda: _decode_entry(answer.document, answer.era))
+        if response.status != 200:
+            return Err(_refused(call, response.status))
+        return _decode(call, lambda: _decode_entry(response.document, response.era))
 
     async def put(
         self, path: str, value: str, expected_revision: int, lease_id: str | None = None
@@ -135,20 +135,22 @@
             reply = await self._call("GET", target, call)
             if isinstance(reply, Err):
                 return reply
-            answer = reply.ok_value
-            if answer.status != 200:
-                return Err(_refused(call, answer.status))
-            page = _decode(call, functools.partial(_decode_snapshot, answer.document, answer.era))
+            response = reply.ok_value
+            if response.status != 200:
+                return Err(_refused(call, response.status))
+            page = _decode(
+                call, functools.partial(_decode_snapshot, response.document, response.era)
+            )
             if isinstance(page, Err):
                 return page
             if first is None:
-                first, revision = answer, page.ok_value.revision
-            if answer.era != first.era:
+                first, revision = response, page.ok_value.revision
+            if response.era != first.era:
                 return Err(
                     StoreUnavailable(call, "the store was restored from a backup between two pages")
                 )
             entries.extend(page.ok_value.entries)
-            if not answer.document.get("hasMore") or not page.ok_value.entries:
+            if not response.document.get("hasMore") or not page.ok_value.entries:
                 return Ok(Snapshot(entries, revision))
             after = page.ok_value.entries[-1].path
 
@@ -164,13 +166,13 @@
         reply = await self._call("GET", target, call, wait_s=wait_s)
         if isinstance(reply, Err):
             return reply
-        answer = reply.ok_value
+        response = reply.ok_value
         # In another era the same revision number stands for other changes.
-        if answer.status == 410 or answer.era != revision_era(after_revision):
+        if response.status == 410 or response.era != revision_era(after_revision):
             return Err(HistoryLost(prefix, after_revision))
-        if answer.status != 200:
-            return Err(_refused(call, answer.status))
-        return _decode(call, lambda: _decode_events(answer.document, answer.era))
+        if response.status != 200:
+            return Err(_refused(call, response.status))
+        return _decode(call, lambda: _decode_events(response.document, response.era))
 
     async def grant_lease(self, ttl_s: float) -> Result[str, PlatformFailure]:
         """Open a lease; paths written under it are deleted if it is not renewed in time."""
@@ -178,10 +180,10 @@
         reply = await self._call("POST", "/api/kv-lease", "lease", body)
         if isinstance(reply, Err):
             return reply
-        answer = reply.ok_value
-        if answer.status != 200:
-            return Err(_refused("lease", answer.status))
-        return _decode("lease", lambda: str(int(answer.document["lease"])))
+        response = reply.ok_value
+        if response.status != 200:
+            return Err(_refused("lease", response.status))
+        return _decode("lease", lambda: str(int(response.document["lease"])))
 
     async def renew_lease(self, lease_id: str) -> Result[None, PlatformFailure]:
         """Renew a lease for its full time."""
@@ -203,16 +205,18 @@
         reply = await self._call("POST", "/api/kv-txn", call, body, written_path=path)
         if isinstance(reply, Err):
             return reply
-        answer = reply.ok_value
-        if answer.status == 412:
-            document = {**answer.document, "currentRev": 0}
-            conflict = _decode(call, lambda: _decode_snapshot(document, answer.era))
+        response = reply.ok_value
+        if response.status == 412:
+            document = {**response.document, "currentRev": 0}
+            conflict = _decode(call, lambda: _decode_snapshot(document, response.era))
             actual = conflict.ok_value.entries if isinstance(conflict, Ok) else ()
             revision = actual[0].revision if actual else 0
             return Err(RevisionConflict(path, expected_revision, revision))
-        if answer.status != 200:
-            return Err(_refused(call, answer.status))
-        return _decode(call, lambda: store_revision(answer.era, int(answer.document["revision"])))
+        if response.status != 200:
+            return Err(_refused(call, response.status))
+        return _decode(
+            call, lambda: store_revision(response.era, int(response.document["revision"]))
+        )
 
     async def _call(
         self,
@@ -240,7 +244,7 @@
             return Err(StoreUnavailable(call, str(error)))
         try:
             sent_s = asyncio.get_running_loop().time()
-            answer = await _exchange(connection, data, wait_s, self._call_timeout_s)
+            response = await _exchange(connection, data, wait_s, self._call_timeout_s)
             duration_s = asyncio.get_running_loop().time() - sent_s
             if duration_s < self._call_timeout_s / 4:
                 self._call_timeout_s = max(self._call_timeout_s / 2, _CALL_TIMEOUT_S)
@@ -255,13 +259,13 @@
             self._idle_connections.append(connection)
         else:
             connection.abort()
-        if answer.status in _UNAVAILABLE_STATUSES:
-            return Err(StoreUnavailable(call, f"status {answer.status}"))
+        if response.status in _UNAVAILABLE_STATUSES:
+            return Err(StoreUnavailable(call, f"status {response.status}"))
         try:
-            era = int(answer.value(_ERA_HEADER) or 0)
+            era = int(response.value(_ERA_HEADER) or 0)
             self._era = max(self._era, era)
-            document = json.loads(answer.body) if answer.body else {}
-            return Ok(_Reply(answer.status, document, era))
+            document = json.loads(response.body) if response.body else {}
+            return Ok(_Reply(response.status, document, era))
         except ValueError as error:
             return Err(StoreUnavailable(call, f"unreadable reply: {error}"))
 
--- a/src/egretrail/platform/tests/test_platform.py
+++ b/src/egretrail/platform/tests/test_platform.py
@@ -24,45 +24,45 @@
 _NOT_EXECUTED = (b"X-Egretrail-Not-Executed", b"1")
 
 
-def _answer(status: int, *headers: tuple[bytes, bytes], body: bytes = b"x") -> ReceivedAnswer:
+def _response(status: int, *headers: tuple[bytes, bytes], body: bytes = b"x") -> ReceivedAnswer:
     return ReceivedAnswer(status, b"", list(headers), body)
 
 
 class AnswerKindTest(EgretrailTestCase):
     @cases(
         {
-            "served": (_answer(200, _SEAL), AnswerKind.SERVED),
-            "refused by the application": (_answer(404, _SEAL), AnswerKind.SERVED),
-            "without a seal": (_answer(200), AnswerKind.INVALID),
-            "encoded": (_answer(200, _SEAL, (b"Content-Encoding", b"gzip")), AnswerKind.INVALID),
-            "full": (_answer(503, _NOT_EXECUTED), AnswerKind.NOT_RUN),
-            "no id": (_answer(400, _NOT_EXECUTED), AnswerKind.NOT_RUN),
-            "busy without the mark": (_answer(503, _SEAL), AnswerKind.FAILED),
-            "too many without the mark": (_answer(429, _SEAL), AnswerKind.FAILED),
-            "another instance": (_answer(421), AnswerKind.WRONG_UPSTREAM),
-            "failed": (_answer(500, _SEAL), AnswerKind.FAILED),
-            "out of time": (_answer(504, _SEAL), AnswerKind.EXPIRED),
+            "served": (_response(200, _SEAL), AnswerKind.SERVED),
+            "refused by the application": (_response(404, _SEAL), AnswerKind.SERVED),
+            "without a seal": (_response(200), AnswerKind.INVALID),
+            "encoded": (_response(200, _SEAL, (b"Content-Encoding", b"gzip")), AnswerKind.INVALID),
+            "full": (_response(503, _NOT_EXECUTED), AnswerKind.NOT_RUN),
+            "no id": (_response(400, _NOT_EXECUTED), AnswerKind.NOT_RUN),
+            "busy without the mark": (_response(503, _SEAL), AnswerKind.FAILED),
+            "too many without the mark": (_response(429, _SEAL), AnswerKind.FAILED),
+            "another instance": (_response(421), AnswerKind.WRONG_UPSTREAM),
+            "failed": (_response(500, _SEAL), AnswerKind.FAILED),
+            "out of time": (_response(504, _SEAL), AnswerKind.EXPIRED),
         }
     )
     def test_kind(self, case: tuple[ReceivedAnswer, AnswerKind]) -> None:
-        answer, expected = case
-        self.assertIs(expected, _CONTRACT.kind(answer))
+        response, expected = case
+        self.assertIs(expected, _CONTRACT.kind(response))
 
     @cases({"503": 503, "429": 429, "408": 408})
     def test_a_not_executed_status_without_the_header_becomes_502_without_seal(
         self, status: int
     ) -> None:
-        passed = _CONTRACT.answer(_answer(status, _SEAL))
-        self.assertEqual(502, passed.status)
-        self.assertNotIn(_SEAL, passed.headers)
+        forwarded = _CONTRACT.answer(_response(status, _SEAL))
+        self.assertEqual(502, forwarded.status)
+        self.assertNotIn(_SEAL, forwarded.headers)
 
     def test_responses_are_forwarded_without_hop_by_hop_headers(self) -> None:
-        received = _answer(
+        received = _response(
             200, _SEAL, _ID, (b"X-Own", b"1"), (b"Connection", b"close, x-hop"), (b"X-Hop", b"2")
         )
-        passed = _CONTRACT.answer(received)
-        self.assertEqual((200, b"x"), (passed.status, passed.body))
-        self.assertEqual([_SEAL, _ID, (b"X-Own", b"1")], list(passed.headers))
+        forwarded = _CONTRACT.answer(received)
+        self.assertEqual((200, b"x"), (forwarded.status, forwarded.body))
+        self.assertEqual([_SEAL, _ID, (b"X-Own", b"1")], list(forwarded.headers))
 
     @cases(
         {
@@ -76,19 +76,19 @@
     def test_advertised_rate_limit(self, case: tuple[bytes | None, float | None]) -> None:
         stated, expected = case
         headers = [] if stated is None else [(b"Server-Limit", stated)]
-        named = _CONTRACT.named_limit(_answer(200, _SEAL, *headers))
+        named = _CONTRACT.named_limit(_response(200, _SEAL, *headers))
         self.assertEqual(Ok(expected), named)
 
     @cases({"text": b"few", "negative": b"-1", "infinite": b"inf", "none": b"nan", "empty": b""})
     def test_an_invalid_rate_limit_is_rejected(self, stated: bytes) -> None:
-        named = _CONTRACT.named_limit(_answer(200, _SEAL, (b"Server-Limit", stated)))
+        named = _CONTRACT.named_limit(_response(200, _SEAL, (b"Server-Limit", stated)))
         self.assertIsInstance(named, Err)
 
     @cases({"own": (b"a1", True), "another's": (b"a2", False), "none": (None, True)})
     def test_response_belongs_to_attempt(self, case: tuple[bytes | None, bool]) -> None:
         stated, expected = case
         headers = [] if stated is None else [(b"X-Egretrail-Attempt-Id", stated)]
-        self.assertIs(expected, _CONTRACT.belongs(_answer(200, *headers), "a1"))
+        self.assertIs(expected, _CONTRACT.belongs(_response(200, *headers), "a1"))
 
 
 class RequestTest(EgretrailTestCase):
@@ -153,8 +153,8 @@
         asked = self._request(target=b"/api/resolve?name=x&region=r&zone=espoo-b")
         self.assertEqual("espoo-b", _CONTRACT.directory_zone(asked))
         self.assertIsNone(_CONTRACT.directory_zone(self._request()))
-        answer = _CONTRACT.directory_answer(["10.0.0.1:80"], 1.5)
-        self.assertEqual({"addresses": ["10.0.0.1:80"], "ttl": "1500ms"}, json.loads(answer.body))
+        response = _CONTRACT.directory_answer(["10.0.0.1:80"], 1.5)
+        self.assertEqual({"addresses": ["10.0.0.1:80"], "ttl": "1500ms"}, json.loads(response.body))
 
 
 def _document(**changes: Any) -> dict[str, Any]:
