--- a/src/egretrail/cli/_output.py
+++ b/src/egretrail/cli/_output.py
@@ -34,7 +34,7 @@
     is_flag=True,
     expose_value=False,
     callback=_set_json,
-    help="Print the response, or the problem, as JSON.",
+    help="Print the answer, or the problem, as JSON.",
 )
 
 
--- a/src/egretrail/cli/_settings.py
+++ b/src/egretrail/cli/_settings.py
@@ -235,5 +235,5 @@
     if status["lack"]:
         text += f"\nnot yet on: {', '.join(status['lack'])}"
     if status["silent"]:
-        text += f"\ndid not response: {', '.join(status['silent'])}"
+        text += f"\ndid not answer: {', '.join(status['silent'])}"
     return text
--- a/src/egretrail/platform/tests/test_platform.py
+++ b/src/egretrail/platform/tests/test_platform.py
@@ -252,7 +252,10 @@
                 1,
             ),
             "a name that is no text": (json.dumps(_document(name="\ud800")).encode(), 1),
-            "more tries than can be told": (json.dumps(_document(maxAttempts=2**63)).encode(), 1),
+            "more attempts than 64 bits hold": (
+                json.dumps(_document(maxAttempts=2**63)).encode(),
+                1,
+            ),
             "a negative number beyond all": (json.dumps(_document(priority=-(2**64))).encode(), 1),
             "two faults": (json.dumps(_document(prefix="a", priority="x")).encode(), 2),
         }
