--- a/src/egretrail/dispatch/_quotas.py
+++ b/src/egretrail/dispatch/_quotas.py
@@ -314,7 +314,7 @@
             window = self._windows.get(key)
             if window is not None:
                 window.sent.add(new.sent, now_s)
-                window.asked.add(new.asked, now_s)
+                window.received.add(new.asked, now_s)
                 window.received_surge.add(new.asked, now_s)
 
     def forget(self, hub_lifetime: str) -> None:
@@ -356,7 +356,7 @@
         A partitioned instance sees its own requests only. Until missing heartbeats show how large
         its part of the fleet is, it uses the last demand that it learned from all zones.
         """
-        asked = window.asked.total(now_s)
+        asked = window.received.total(now_s)
         asked += min(window.unacknowledged().asked, window.own.asked(now_s))
         demand_per_s = asked / _DEMAND_WINDOW_S
         if hears_all:
