--- a/src/egretrail/cluster/__init__.py
+++ b/src/egretrail/cluster/__init__.py
@@ -3,7 +3,6 @@
 No module of this package performs I/O: datagrams are values, and the time is an argument.
 """
 
-from egretrail.cluster._heartbeat import Beat, DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._config_chunks import (
     ConfigOutline,
     KnownOutlines,
@@ -41,8 +40,9 @@
     encode_referral,
     encode_upstreams,
 )
-from egretrail.cluster._hub_election import HUB_SILENCE_S, Following
+from egretrail.cluster._heartbeat import Beat, DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._hub import URGENT_OUTCOMES, Hub, HubState
+from egretrail.cluster._hub_election import HUB_SILENCE_S, Following
 from egretrail.cluster._instance import Instance, InstanceState, short_incarnation
 from egretrail.cluster._malformed import MalformedMessage
 from egretrail.cluster._membership import BEAT_INTERVAL_S, Membership, address_part
--- a/src/egretrail/cluster/_config_chunks.py
+++ b/src/egretrail/cluster/_config_chunks.py
@@ -9,12 +9,12 @@
 import xxhash
 
 from egretrail.cluster._config_codec import (
-    ConfigHead,
     ChunkContents,
-    pack_head,
+    ConfigHead,
     pack_chunk,
-    unpack_head,
+    pack_head,
     unpack_chunk,
+    unpack_head,
 )
 from egretrail.traffic import ClientAccount, FleetConfig, Route, Service
 
@@ -80,7 +80,11 @@
         config = FleetConfig(
             version=unpacked.version,
             routes=[route for chunk_contents in contents for route in chunk_contents.routes],
-            services={service.name: service for chunk_contents in contents for service in chunk_contents.services},
+            services={
+                service.name: service
+                for chunk_contents in contents
+                for service in chunk_contents.services
+            },
             limits=unpacked.limits,
             accounts=accounts if unpacked.has_accounts else None,
         )
--- a/src/egretrail/cluster/_config_codec.py
+++ b/src/egretrail/cluster/_config_codec.py
@@ -48,7 +48,10 @@
 def pack_chunk(contents: ChunkContents) -> bytes:
     """Return the packed form of a chunk; equal contents have equal bytes."""
     document = [
-        [[service.name, service.health_path, service.max_connections] for service in contents.services],
+        [
+            [service.name, service.health_path, service.max_connections]
+            for service in contents.services
+        ],
         [_route_row(route) for route in contents.routes],
         [_account_row(account) for account in contents.accounts],
     ]
--- a/src/egretrail/cluster/_datagrams.py
+++ b/src/egretrail/cluster/_datagrams.py
@@ -17,16 +17,16 @@
     address_number,
     decode_accounts,
     decode_echo,
+    decode_freshness_age,
     decode_instances,
     decode_key,
     decode_limits,
-    decode_freshness_age,
     decode_section,
     encode_accounts,
     encode_echo,
+    encode_freshness_age,
     encode_instances,
     encode_limits,
-    encode_freshness_age,
     encode_section,
 )
 from egretrail.dispatch import Outcome, RepeatCounts, RequestDigest
@@ -227,7 +227,10 @@
 
 
 def _retry_counts_row(counts: Mapping[str, RepeatCounts]) -> dict[str, list[int]]:
-    return {service: [retry_counts.requests, retry_counts.repeats] for service, retry_counts in counts.items()}
+    return {
+        service: [retry_counts.requests, retry_counts.repeats]
+        for service, retry_counts in counts.items()
+    }
 
 
 def _decode_retry_counts(row: Mapping[Any, Sequence[int]]) -> dict[str, RepeatCounts]:
--- a/src/egretrail/cluster/_fetch_codec.py
+++ b/src/egretrail/cluster/_fetch_codec.py
@@ -8,7 +8,7 @@
 import msgpack
 from result import Err, Ok, Result
 
-from egretrail.cluster._config_chunks import CHUNK_COUNT, ConfigOutline, ConfigChunk
+from egretrail.cluster._config_chunks import CHUNK_COUNT, ConfigChunk, ConfigOutline
 from egretrail.cluster._malformed import MALFORMED, MalformedMessage
 from egretrail.dispatch import DoubtRecord
 from egretrail.traffic import UpstreamRecord, UpstreamState
@@ -139,7 +139,9 @@
         if len(rest) == 1:
             return Ok(Referral(str(rest[0])))
         head, digest, base_digest, changed = rest
-        return Ok(ConfigOutline(bytes(head), int(digest), int(base_digest), _decode_digests(changed)))
+        return Ok(
+            ConfigOutline(bytes(head), int(digest), int(base_digest), _decode_digests(changed))
+        )
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
@@ -177,7 +179,8 @@
     if reply.upstreams is not None:
         rows = [_upstream_row(record) for record in reply.upstreams]
     suspicions = [
-        [suspicion.upstream_id, suspicion.age_s, suspicion.pause_s, suspicion.successes] for suspicion in reply.doubts
+        [suspicion.upstream_id, suspicion.age_s, suspicion.pause_s, suspicion.successes]
+        for suspicion in reply.doubts
     ]
     changes = None
     if reply.changes is not None:
@@ -203,7 +206,8 @@
         changes = None
         if changed is not None:
             changes = {
-                str(name): None if row is None else _decode_upstream(row) for name, row in changed.items()
+                str(name): None if row is None else _decode_upstream(row)
+                for name, row in changed.items()
             }
         return Ok(UpstreamsReply(int(revision), upstreams, suspicions, changes))
     except MALFORMED as error:
--- a/src/egretrail/cluster/_hub.py
+++ b/src/egretrail/cluster/_hub.py
@@ -1,15 +1,14 @@
-"""Aggregates a zone: the hub turns the heartbeats of its instances into sections for all of them.
-"""
+"""Aggregates a zone: the hub turns its instances' heartbeats into sections for all of them."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from egretrail.cluster._heartbeat import Beat, Finding
 from egretrail.cluster._config_freshness import SectionEcho
-from egretrail.cluster._outcome_log import OutcomeLog
+from egretrail.cluster._heartbeat import Beat, Finding
 from egretrail.cluster._hub_reports import HubReports
 from egretrail.cluster._instance import Instance
 from egretrail.cluster._membership import address_part
+from egretrail.cluster._outcome_log import OutcomeLog
 from egretrail.cluster._section import (
     ChangedRows,
     LoadRows,
@@ -149,7 +148,9 @@
         """Apply a heartbeat of the zone; return whether the zone needs the update at once."""
         member = self._members.get(heartbeat.origin)
         if member is None:
-            member = _Member(heartbeat, now_s, self._allocate_index(now_s), direct, heartbeat.first_finding)
+            member = _Member(
+                heartbeat, now_s, self._allocate_index(now_s), direct, heartbeat.first_finding
+            )
             self._members[heartbeat.origin] = member
             self._replace_loads({}, heartbeat.loads)
             self._add_retries(heartbeat.told_repeats, heartbeat.repeats)
@@ -166,7 +167,11 @@
 
     def expire(self, now_s: float) -> Sequence[Instance]:
         """Remove and return the members whose last heartbeat is too old."""
-        removed = [member for member in self._members.values() if now_s - member.received_s > _MEMBER_TIMEOUT_S]
+        removed = [
+            member
+            for member in self._members.values()
+            if now_s - member.received_s > _MEMBER_TIMEOUT_S
+        ]
         for member in removed:
             del self._members[member.heartbeat.origin]
             self._free_indexes.append((member.ack_index, now_s))
@@ -281,7 +286,9 @@
         skip = max(member.next_outcome - heartbeat.first_finding, 0)
         for report in heartbeat.findings[skip:]:
             urgent |= self._record_outcome(report, now_s)
-        member.next_outcome = max(member.next_outcome, heartbeat.first_finding + len(heartbeat.findings))
+        member.next_outcome = max(
+            member.next_outcome, heartbeat.first_finding + len(heartbeat.findings)
+        )
         for success in heartbeat.routine:
             successes = self._successes.setdefault(success.upstream_key, _Successes())
             successes.count += 1
@@ -397,7 +404,11 @@
             members = members[:_ROSTER_CROSS_ZONE_MAX]
         total = -(-len(members) // _ROSTER_SLICE_ROWS) or 1
         for index in range(total):
-            in_slice = [member for member in members if address_part(member.heartbeat.origin, total) == index]
+            in_slice = [
+                member
+                for member in members
+                if address_part(member.heartbeat.origin, total) == index
+            ]
             roster = RosterSlice(
                 index,
                 total,
--- a/src/egretrail/cluster/_hub_election.py
+++ b/src/egretrail/cluster/_hub_election.py
@@ -82,7 +82,9 @@
             return True
         follows_predecessor = self.hub is not None and _rank(self.hub, order) < rank
         silence_s = now_s - max(self.heard_s if follows_predecessor else self.since_s, self.since_s)
-        return silence_s > HUB_SILENCE_S + _SUCCESSION_DELAY_S * min(rank - 1, _SUCCESSION_STEPS_MAX)
+        return silence_s > HUB_SILENCE_S + _SUCCESSION_DELAY_S * min(
+            rank - 1, _SUCCESSION_STEPS_MAX
+        )
 
     def targets(self, order: Sequence[str], now_s: float) -> Sequence[str]:
         """Return the instances to which the next heartbeat is sent."""
--- a/src/egretrail/cluster/_membership.py
+++ b/src/egretrail/cluster/_membership.py
@@ -1,5 +1,4 @@
-"""The living instances of the fleet, and which of them perform the tasks that few perform for all.
-"""
+"""The living instances of the fleet, and the instances that perform a task for all of them."""
 
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
@@ -234,7 +233,9 @@
         """Return the deadline of an instance."""
         if not entry.is_listed:
             return entry.deadline_s
-        return max(entry.deadline_s, self._zone_deadlines_s.get(entry.instance.availability_zone, 0.0))
+        return max(
+            entry.deadline_s, self._zone_deadlines_s.get(entry.instance.availability_zone, 0.0)
+        )
 
     def _is_outdated(self, instance: Instance, now_s: float) -> bool:
         """Return whether an introduction describes an incarnation that was already removed."""
--- a/src/egretrail/cluster/_outgoing_reports.py
+++ b/src/egretrail/cluster/_outgoing_reports.py
@@ -49,7 +49,7 @@
         self._dropped.extend((now_s, report) for report in reports)
 
     def limited(self, upstream_key: int, limit_per_s: float | None, now_s: float) -> None:
-        """Queue the limit that an upstream has just advertised, or None if it withdrew its limit."""
+        """Queue the limit that an upstream has just advertised; None if it withdrew its limit."""
         self._limits[upstream_key] = (now_s, limit_per_s)
 
     def forget_old(self, now_s: float) -> None:
--- a/src/egretrail/cluster/_section.py
+++ b/src/egretrail/cluster/_section.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._config_freshness import SectionEcho
+from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._instance import Instance
 from egretrail.dispatch import AccountReport, RepeatCounts
 
@@ -84,8 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """The periodic summary message of a zone's hub; empty fields were omitted and change nothing.
-    """
+    """The periodic summary message of a zone's hub; omitted fields are empty and change nothing."""
 
     #: The receivers of the section.
     scope: Scope
--- a/src/egretrail/cluster/_section_codec.py
+++ b/src/egretrail/cluster/_section_codec.py
@@ -9,8 +9,8 @@
 
 import msgpack
 
-from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._config_freshness import SectionEcho
+from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._instance import Instance, InstanceState
 from egretrail.cluster._section import (
     ChangedRows,
@@ -201,7 +201,9 @@
 def decode_limits(rows: Iterable[Sequence[Any]]) -> Sequence[LimitReport]:
     """Return the limits of rows; raises one of ``MALFORMED`` for invalid numbers."""
     return [
-        LimitReport(decode_key(key), None if limit is None else _decode_rate(limit), _decode_age_s(age_ms))
+        LimitReport(
+            decode_key(key), None if limit is None else _decode_rate(limit), _decode_age_s(age_ms)
+        )
         for key, limit, age_ms in rows
     ]
 
--- a/src/egretrail/cluster/_zone_peers.py
+++ b/src/egretrail/cluster/_zone_peers.py
@@ -49,7 +49,11 @@
 
     def sent(self, heartbeat: Beat, now_s: float) -> None:
         """Remember a sent heartbeat until it is acknowledged."""
-        self._sent.append(_SentHeartbeat(heartbeat.sequence, now_s, heartbeat.loads, heartbeat.repeats, heartbeat.accounts))
+        self._sent.append(
+            _SentHeartbeat(
+                heartbeat.sequence, now_s, heartbeat.loads, heartbeat.repeats, heartbeat.accounts
+            )
+        )
 
     def told_repeats(self, now_s: float) -> Mapping[str, RepeatCounts]:
         """Return the part of this instance's counts that the zone's aggregates already include.
@@ -58,7 +62,10 @@
         successor receives a first heartbeat from each member. Requests and retries since the last
         acknowledgement of the failed hub would otherwise be missing from all aggregates.
         """
-        if self._last_acknowledged is not None and now_s - self._last_acknowledged.sent_s <= _COUNTS_VALID_S:
+        if (
+            self._last_acknowledged is not None
+            and now_s - self._last_acknowledged.sent_s <= _COUNTS_VALID_S
+        ):
             return self._last_acknowledged.repeats
         return self._sent[-1].repeats if self._sent else {}
 
@@ -140,7 +147,9 @@
         else:
             self._loads.pop(key, None)
 
-    def _add_retries(self, totals: Mapping[str, RepeatCounts], previous: _SentHeartbeat | None) -> None:
+    def _add_retries(
+        self, totals: Mapping[str, RepeatCounts], previous: _SentHeartbeat | None
+    ) -> None:
         """Add the zone's counts since the previous section, less this instance's own counts."""
         if not totals and not self._totals:
             return
@@ -171,7 +180,9 @@
     return replaced | rows.keys()
 
 
-def _own_difference(service: str, previous: _SentHeartbeat | None, now: _SentHeartbeat | None) -> RepeatCounts:
+def _own_difference(
+    service: str, previous: _SentHeartbeat | None, now: _SentHeartbeat | None
+) -> RepeatCounts:
     """Return this instance's counts between two acknowledged heartbeats."""
     if previous is None or now is None or previous is now:
         return RepeatCounts()
--- a/src/egretrail/cluster/tests/test_cluster.py
+++ b/src/egretrail/cluster/tests/test_cluster.py
@@ -109,7 +109,9 @@
             relayed = decode_datagram(encode_passed_on(datagram))
             assert isinstance(relayed, Ok)
             assert isinstance(relayed.ok_value, SectionsDatagram)
-            self.assertEqual((1, [received]), (relayed.ok_value.hops, list(relayed.ok_value.sections)))
+            self.assertEqual(
+                (1, [received]), (relayed.ok_value.hops, list(relayed.ok_value.sections))
+            )
 
     @cases({"a millisecond": 0.001, "a typical request": 0.32, "a minute": 59.0})
     def test_durations_are_decoded_within_their_precision(self, duration_s: float) -> None:
--- a/src/egretrail/cluster/tests/test_hub.py
+++ b/src/egretrail/cluster/tests/test_hub.py
@@ -56,7 +56,10 @@
     @cases(
         {
             "two instances": ([("2", 1, {5: 1}), ("3", 1, {5: 2, 6: 1})], {5: 3, 6: 1}),
-            "a later heartbeat replaces the earlier one": ([("2", 1, {5: 1}), ("2", 2, {6: 1})], {6: 1}),
+            "a later heartbeat replaces the earlier one": (
+                [("2", 1, {5: 1}), ("2", 2, {6: 1})],
+                {6: 1},
+            ),
             "an older heartbeat that arrives late": ([("2", 2, {5: 1}), ("2", 1, {6: 4})], {5: 1}),
             "the same heartbeat twice": ([("2", 1, {5: 1}), ("2", 1, {5: 1})], {5: 1}),
         }
@@ -65,7 +68,9 @@
         self, case: tuple[Sequence[tuple[str, int, Mapping[int, int]]], Mapping[int, int]]
     ) -> None:
         sent, expected = case
-        hub = _hub(*(heartbeat(f"10.0.0.{n}", sequence, loads=loads) for n, sequence, loads in sent))
+        hub = _hub(
+            *(heartbeat(f"10.0.0.{n}", sequence, loads=loads) for n, sequence, loads in sent)
+        )
         self.assertEqual(expected, _loads(list(hub.across_sections(_STATE, 0.1))))
 
     def test_changed_loads_are_sent_once_and_all_loads_within_fifteen_sections(self) -> None:
--- a/src/egretrail/cluster/tests/test_zone_peers.py
+++ b/src/egretrail/cluster/tests/test_zone_peers.py
@@ -31,7 +31,9 @@
 
     def heartbeat(self, now_s: float) -> Beat:
         self.sequence += 1
-        sent_heartbeat = heartbeat(self.address, self.sequence, loads=dict(self.loads), repeats={"s": self.counts})
+        sent_heartbeat = heartbeat(
+            self.address, self.sequence, loads=dict(self.loads), repeats={"s": self.counts}
+        )
         self.zone_peers.sent(sent_heartbeat, now_s)
         return sent_heartbeat
 
