--- a/src/egretrail/gateway/_attempts.py
+++ b/src/egretrail/gateway/_attempts.py
@@ -9,7 +9,7 @@
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
 from egretrail.gateway._pending_request import AttemptResult, Disposition, PendingRequest
-from egretrail.gateway._pool import UpstreamPool
+from egretrail.gateway._pool import UpstreamConnectionPool
 from egretrail.gateway._view import FleetView
 from egretrail.http1 import (
     ConnectFailed,
@@ -35,7 +35,7 @@
         self,
         view: FleetView,
         contract: RequestContract,
-        pool: UpstreamPool,
+        pool: UpstreamConnectionPool,
         log: EventLog,
         metrics: GatewayMetrics,
     ) -> None:
