--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from egretrail.dispatch import Observation, Outcome, Standing
+from egretrail.dispatch import Observation, Outcome, UpstreamHealth
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._view import FleetView
 from egretrail.gateway.tests.network import SimulatedLinks, SimulatedNetwork, Traffic
@@ -34,7 +34,7 @@
 _WORK_S = 0.2
 #: Failures a second over the whole fleet, as of a service with three upstreams in ten in a spell.
 _FAILURES_PER_S = 6.0
-_GOOD = Standing.GOOD
+_GOOD = UpstreamHealth.GOOD
 #: How often it is looked whether an instance knows a failure, and after which time it does not.
 _LOOK_S = 0.01
 _UNKNOWN_S = 2.0
@@ -120,7 +120,7 @@
     async def _until_known(self, upstream_id: str, view: FleetView, times_s: list[float]) -> None:
         loop = asyncio.get_running_loop()
         since_s = loop.time()
-        while view.suspicion.standing(upstream_id, loop.time()) is _GOOD:
+        while view.suspicion.health(upstream_id, loop.time()) is _GOOD:
             await asyncio.sleep(_LOOK_S)
             if loop.time() - since_s >= _UNKNOWN_S:
                 break
@@ -130,7 +130,7 @@
         while True:
             await asyncio.sleep(self.rng.expovariate(_REQUESTS_PER_S))
             upstream = self.rng.choice(self.upstreams)
-            if view.suspicion.standing(upstream.id, asyncio.get_running_loop().time()) is not _GOOD:
+            if view.suspicion.health(upstream.id, asyncio.get_running_loop().time()) is not _GOOD:
                 continue
             view.begin(upstream.id, trial=False)
             duration_s = _WORK_S * (0.5 + self.rng.random())
--- a/src/egretrail/cluster/_datagrams.py
+++ b/src/egretrail/cluster/_datagrams.py
@@ -29,7 +29,7 @@
     encode_limits,
     encode_section,
 )
-from egretrail.dispatch import Outcome, RepeatCounts, RequestDigest
+from egretrail.dispatch import Outcome, RequestDigest, RetryCounts
 
 #: The version of the wire format, incremented with each change of it; datagrams of other versions
 #: are discarded.
@@ -226,15 +226,15 @@
     ]
 
 
-def _retry_counts_row(counts: Mapping[str, RepeatCounts]) -> dict[str, list[int]]:
+def _retry_counts_row(counts: Mapping[str, RetryCounts]) -> dict[str, list[int]]:
     return {
-        service: [retry_counts.requests, retry_counts.repeats]
+        service: [retry_counts.requests, retry_counts.retries]
         for service, retry_counts in counts.items()
     }
 
 
-def _decode_retry_counts(row: Mapping[Any, Sequence[int]]) -> dict[str, RepeatCounts]:
-    return {str(service): RepeatCounts(int(a), int(b)) for service, (a, b) in row.items()}
+def _decode_retry_counts(row: Mapping[Any, Sequence[int]]) -> dict[str, RetryCounts]:
+    return {str(service): RetryCounts(int(a), int(b)) for service, (a, b) in row.items()}
 
 
 def _outcome_row(report: Finding) -> list[int]:
--- a/src/egretrail/cluster/_fetch_codec.py
+++ b/src/egretrail/cluster/_fetch_codec.py
@@ -10,7 +10,7 @@
 
 from egretrail.cluster._config_chunks import CHUNK_COUNT, ConfigChunk, ConfigOutline
 from egretrail.cluster._malformed import MALFORMED, MalformedMessage
-from egretrail.dispatch import DoubtRecord
+from egretrail.dispatch import SuspicionRecord
 from egretrail.traffic import UpstreamRecord, UpstreamState
 
 #: The version of the wire format, incremented with each change of it; messages of other versions
@@ -46,7 +46,7 @@
     #: set.
     upstreams: Sequence[UpstreamRecord] | None
     #: The suspicions about upstreams, if they were requested.
-    doubts: Sequence[DoubtRecord] = ()
+    doubts: Sequence[SuspicionRecord] = ()
     #: The upstreams that changed since the requester's revision, by name; None for an upstream that
     #: is no longer listed.
     changes: Mapping[str, UpstreamRecord | None] | None = None
@@ -200,7 +200,7 @@
             return Err(MalformedMessage(f"unsupported version {version!r}"))
         upstreams = None if rows is None else [_decode_upstream(row) for row in rows]
         suspicions = [
-            DoubtRecord(str(name), float(age_s), float(pause_s), int(successes))
+            SuspicionRecord(str(name), float(age_s), float(pause_s), int(successes))
             for name, age_s, pause_s, successes in suspicion_rows
         ]
         changes = None
--- a/src/egretrail/cluster/_heartbeat.py
+++ b/src/egretrail/cluster/_heartbeat.py
@@ -6,7 +6,7 @@
 
 from egretrail.cluster._config_freshness import SectionEcho
 from egretrail.cluster._instance import Instance, InstanceState, short_incarnation
-from egretrail.dispatch import AccountReport, Outcome, RepeatCounts, RequestDigest
+from egretrail.dispatch import AccountReport, Outcome, RequestDigest, RetryCounts
 
 
 class Finding(NamedTuple):
@@ -98,9 +98,9 @@
     #: Upstreams that the instance dropped in the last seconds.
     dropped: Sequence[DropReport] = ()
     #: Requests and retries by service, since the start of the process.
-    repeats: Mapping[str, RepeatCounts] = field(default_factory=dict)
+    repeats: Mapping[str, RetryCounts] = field(default_factory=dict)
     #: The part of ``retries`` that the zone has received. A new hub counts only what exceeds this.
-    told_repeats: Mapping[str, RepeatCounts] = field(default_factory=dict)
+    told_repeats: Mapping[str, RetryCounts] = field(default_factory=dict)
     #: Limits that upstreams advertised or withdrew in the last seconds.
     limits: Sequence[LimitReport] = ()
     #: Seconds since the configuration was confirmed as current; None when not reported.
--- a/src/egretrail/cluster/_hub.py
+++ b/src/egretrail/cluster/_hub.py
@@ -18,12 +18,12 @@
     Section,
 )
 from egretrail.dispatch import (
+    AccountCounter,
     AccountCounts,
     AccountReport,
-    CountedAccount,
     Outcome,
-    RepeatCounts,
-    news_of,
+    RetryCounts,
+    new_counts,
 )
 
 #: Outcomes that other instances act upon at once.
@@ -135,8 +135,8 @@
         self._pending_refusals: dict[Scope, dict[int, None]] = {scope: {} for scope in Scope}
         self._outcome_logs = {scope: OutcomeLog() for scope in Scope}
         self._reports = HubReports()
-        self._retries: dict[str, RepeatCounts] = {}
-        self._accounts: dict[int, CountedAccount] = {}
+        self._retries: dict[str, RetryCounts] = {}
+        self._accounts: dict[int, AccountCounter] = {}
         self._accounts_sent_s = {scope: float("-inf") for scope in Scope}
         self._accounts_offset = 0
         self._roster_sends_left = dict.fromkeys(Scope, _ROSTER_SEND_COUNT)
@@ -309,31 +309,31 @@
         return False
 
     def _add_retries(
-        self, before: Mapping[str, RepeatCounts], now: Mapping[str, RepeatCounts]
+        self, before: Mapping[str, RetryCounts], now: Mapping[str, RetryCounts]
     ) -> None:
         """Add a member's requests and retries since the counts that the zone already has."""
         for service, counts in now.items():
-            known = before.get(service, RepeatCounts())
-            total = self._retries.get(service, RepeatCounts())
-            self._retries[service] = RepeatCounts(
+            known = before.get(service, RetryCounts())
+            total = self._retries.get(service, RetryCounts())
+            self._retries[service] = RetryCounts(
                 total.requests + max(counts.requests - known.requests, 0),
-                total.repeats + max(counts.repeats - known.repeats, 0),
+                total.retries + max(counts.retries - known.retries, 0),
             )
 
     def _add_accounts(self, member: _Member, heartbeat: Beat, now_s: float) -> None:
         """Add a member's request counts of accounts since its previous heartbeat."""
         for key, report in heartbeat.accounts.items():
             before = member.accounts.get(key)
-            new = news_of(report, before)
+            new = new_counts(report, before)
             member.accounts[key] = report.total if before is None else before.plus(new)
             if new != AccountCounts():
-                self._accounts.setdefault(key, CountedAccount()).add(new, now_s)
+                self._accounts.setdefault(key, AccountCounter()).add(new, now_s)
 
     def _accounts_to_send(self, scope: Scope, now_s: float) -> Mapping[int, AccountReport]:
         if now_s - self._accounts_sent_s[scope] < _ACCOUNTS_INTERVAL_S:
             return {}
         self._accounts_sent_s[scope] = now_s
-        keys = [key for key, counted in self._accounts.items() if counted.is_told(now_s)]
+        keys = [key for key, counted in self._accounts.items() if counted.needs_report(now_s)]
         if len(keys) > _ACCOUNTS_MAX:
             first = self._accounts_offset % len(keys)
             self._accounts_offset += _ACCOUNTS_MAX
--- a/src/egretrail/cluster/_section.py
+++ b/src/egretrail/cluster/_section.py
@@ -13,7 +13,7 @@
 from egretrail.cluster._config_freshness import SectionEcho
 from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
 from egretrail.cluster._instance import Instance
-from egretrail.dispatch import AccountReport, RepeatCounts
+from egretrail.dispatch import AccountReport, RetryCounts
 
 
 class Scope(enum.IntEnum):
@@ -122,7 +122,7 @@
     #: Upstreams that readers of the store dropped in the last seconds.
     dropped: Sequence[DropReport] = ()
     #: Requests and retries of the zone by service, since the hub started to count.
-    repeats: Mapping[str, RepeatCounts] = field(default_factory=dict)
+    repeats: Mapping[str, RetryCounts] = field(default_factory=dict)
     #: Limits that upstreams advertised or withdrew in the last seconds.
     limits: Sequence[LimitReport] = ()
     #: A slice of the zone's living instances.
--- a/src/egretrail/cluster/_section_codec.py
+++ b/src/egretrail/cluster/_section_codec.py
@@ -24,8 +24,8 @@
     AccountCounts,
     AccountReport,
     Outcome,
-    RepeatCounts,
     RequestDigest,
+    RetryCounts,
 )
 
 #: An instance: acknowledgement index, address, incarnation, state, capacity.
@@ -108,7 +108,7 @@
             _encode_outcomes(section.findings),
             [[loss.digest, loss.upstream_key] for loss in section.losses],
             [[drop.upstream_id, drop.revision] for drop in section.dropped],
-            {name: [counts.requests, counts.repeats] for name, counts in section.repeats.items()},
+            {name: [counts.requests, counts.retries] for name, counts in section.repeats.items()},
             _encode_roster(section.roster),
             encode_limits(section.limits),
             encode_freshness_age(section.config_proof_age_s),
@@ -141,7 +141,7 @@
         findings=_decode_outcomes(row[14]),
         losses=[LossReport(RequestDigest(int(digest)), int(key)) for digest, key in row[15]],
         dropped=[DropReport(str(name), int(revision)) for name, revision in row[16]],
-        repeats={str(name): RepeatCounts(int(a), int(b)) for name, (a, b) in row[17].items()},
+        repeats={str(name): RetryCounts(int(a), int(b)) for name, (a, b) in row[17].items()},
         roster=_decode_roster(row[18], zone),
         limits=decode_limits(row[19]),
         config_proof_age_s=decode_freshness_age(row[20]),
@@ -155,9 +155,9 @@
     return b"".join(
         _ACCOUNT.pack(
             key,
-            report.total.asked,
+            report.total.received,
             report.total.sent,
-            min(report.recent.asked, _SHORT_MAX),
+            min(report.recent.received, _SHORT_MAX),
             min(report.recent.sent, _SHORT_MAX),
         )
         for key, report in reports.items()
--- a/src/egretrail/cluster/_zone_peers.py
+++ b/src/egretrail/cluster/_zone_peers.py
@@ -6,7 +6,7 @@
 
 from egretrail.cluster._heartbeat import Beat
 from egretrail.cluster._section import LoadSlice, Section
-from egretrail.dispatch import AccountReport, RepeatCounts
+from egretrail.dispatch import AccountReport, RetryCounts
 
 #: Maximum heartbeats that are remembered until they are acknowledged; at most 50 are sent a second.
 _HEARTBEATS_MAX = 100
@@ -26,7 +26,7 @@
     #: The loads in the heartbeat.
     loads: Mapping[int, int]
     #: The counts of requests and retries in the heartbeat.
-    repeats: Mapping[str, RepeatCounts]
+    repeats: Mapping[str, RetryCounts]
     #: The request counts of accounts in the heartbeat.
     accounts: Mapping[int, AccountReport]
 
@@ -44,8 +44,8 @@
     _acknowledged: _SentHeartbeat | None = None
     #: The last heartbeat that any hub acknowledged.
     _last_acknowledged: _SentHeartbeat | None = None
-    _totals: Mapping[str, RepeatCounts] = field(default_factory=dict)
-    _peer_counts: dict[str, RepeatCounts] = field(default_factory=dict)
+    _totals: Mapping[str, RetryCounts] = field(default_factory=dict)
+    _peer_counts: dict[str, RetryCounts] = field(default_factory=dict)
 
     def sent(self, heartbeat: Beat, now_s: float) -> None:
         """Remember a sent heartbeat until it is acknowledged."""
@@ -55,7 +55,7 @@
             )
         )
 
-    def told_repeats(self, now_s: float) -> Mapping[str, RepeatCounts]:
+    def told_repeats(self, now_s: float) -> Mapping[str, RetryCounts]:
         """Return the part of this instance's counts that the zone's aggregates already include.
 
         If the last acknowledgement is too old, all counts are returned. When a hub fails, its
@@ -124,7 +124,7 @@
         """Return the peers' requests in flight at some upstreams."""
         return {key: self._peer_load(key) for key in keys}
 
-    def repeats(self) -> Mapping[str, RepeatCounts]:
+    def repeats(self) -> Mapping[str, RetryCounts]:
         """Return the requests and retries of the peers since the first section of this hub."""
         return self._peer_counts
 
@@ -148,7 +148,7 @@
             self._loads.pop(key, None)
 
     def _add_retries(
-        self, totals: Mapping[str, RepeatCounts], previous: _SentHeartbeat | None
+        self, totals: Mapping[str, RetryCounts], previous: _SentHeartbeat | None
     ) -> None:
         """Add the zone's counts since the previous section, less this instance's own counts."""
         if not totals and not self._totals:
@@ -157,13 +157,13 @@
         # Without two acknowledgements, this instance's own share of the difference is unknown.
         is_attributable = previous is not None and now is not None
         for service, total in totals.items():
-            last = self._totals.get(service, RepeatCounts())
+            last = self._totals.get(service, RetryCounts())
             own = _own_difference(service, previous, now)
-            peer_counts = self._peer_counts.get(service, RepeatCounts())
+            peer_counts = self._peer_counts.get(service, RetryCounts())
             if is_attributable:
-                peer_counts = RepeatCounts(
+                peer_counts = RetryCounts(
                     peer_counts.requests + max(total.requests - last.requests - own.requests, 0),
-                    peer_counts.repeats + max(total.repeats - last.repeats - own.repeats, 0),
+                    peer_counts.retries + max(total.retries - last.retries - own.retries, 0),
                 )
             self._peer_counts[service] = peer_counts
         self._totals = totals
@@ -182,10 +182,10 @@
 
 def _own_difference(
     service: str, previous: _SentHeartbeat | None, now: _SentHeartbeat | None
-) -> RepeatCounts:
+) -> RetryCounts:
     """Return this instance's counts between two acknowledged heartbeats."""
     if previous is None or now is None or previous is now:
-        return RepeatCounts()
-    old = previous.repeats.get(service, RepeatCounts())
-    new = now.repeats.get(service, RepeatCounts())
-    return RepeatCounts(new.requests - old.requests, new.repeats - old.repeats)
+        return RetryCounts()
+    old = previous.repeats.get(service, RetryCounts())
+    new = now.repeats.get(service, RetryCounts())
+    return RetryCounts(new.requests - old.requests, new.retries - old.retries)
--- a/src/egretrail/cluster/tests/test_cluster.py
+++ b/src/egretrail/cluster/tests/test_cluster.py
@@ -45,7 +45,7 @@
     encode_upstreams,
 )
 from egretrail.cluster.tests.messages import heartbeat, instance, section
-from egretrail.dispatch import DoubtRecord, Outcome, RepeatCounts, RequestDigest
+from egretrail.dispatch import Outcome, RequestDigest, RetryCounts, SuspicionRecord
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
 
@@ -60,8 +60,8 @@
             first_finding=9,
             findings=[_FAILURE],
             losses=[LossReport(RequestDigest(2**63 + 5), 77)],
-            repeats={"s": RepeatCounts(5, 1)},
-            told_repeats={"s": RepeatCounts(4, 1)},
+            repeats={"s": RetryCounts(5, 1)},
+            told_repeats={"s": RetryCounts(4, 1)},
             routine=[Finding(78, Outcome.SUCCESS, 0.3, "10.0.0.2")],
             dropped=[DropReport("u3", 41)],
             limits=[LimitReport(7, 1.5, 0.25), LimitReport(8, None, 1.0)],
@@ -84,7 +84,7 @@
                 "losses": [LossReport(RequestDigest(2**63 + 5), 77)],
                 "dropped": [DropReport("u3", 41)],
                 "limits": [LimitReport(7, 1.5, 0.25), LimitReport(2**32 - 1, None, 1.0)],
-                "repeats": {"s": RepeatCounts(2**33, 1)},
+                "repeats": {"s": RetryCounts(2**33, 1)},
             },
             "a roster": {
                 "roster": RosterSlice(
@@ -214,7 +214,7 @@
 
     def test_fetch_messages_round_trip(self) -> None:
         record = UpstreamRecord("u", "s", "10.0.0.1:1", "a", 4, UpstreamState.DRAINING, 1.5, 9)
-        suspicions = [DoubtRecord("u", 1.5, 5.0, 1)]
+        suspicions = [SuspicionRecord("u", 1.5, 5.0, 1)]
         for reply in (
             UpstreamsReply(9, [record], suspicions),
             UpstreamsReply(9, None, []),
--- a/src/egretrail/cluster/tests/test_hub.py
+++ b/src/egretrail/cluster/tests/test_hub.py
@@ -19,7 +19,7 @@
 )
 from egretrail.cluster._outcome_log import OutcomeLog
 from egretrail.cluster.tests.messages import heartbeat
-from egretrail.dispatch import Outcome, RepeatCounts, RequestDigest
+from egretrail.dispatch import Outcome, RequestDigest, RetryCounts
 from egretrail.testing import EgretrailTestCase, cases
 
 _STATE = HubState(3, 40)
@@ -93,13 +93,13 @@
         self.assertEqual([], list(hub.expire(5.0)))
 
     def test_retry_counts_start_from_the_known_counts_and_never_decrease(self) -> None:
-        known, first = {"s": RepeatCounts(88, 8)}, {"s": RepeatCounts(90, 9)}
+        known, first = {"s": RetryCounts(88, 8)}, {"s": RetryCounts(90, 9)}
         hub = _hub(heartbeat("10.0.0.2", 1, repeats=first, told_repeats=known))
-        hub.hear(heartbeat("10.0.0.2", 2, repeats={"s": RepeatCounts(95, 10)}), 0.1, direct=True)
-        restarted = heartbeat("10.0.0.2", 1, incarnation=8, repeats={"s": RepeatCounts(2, 0)})
+        hub.hear(heartbeat("10.0.0.2", 2, repeats={"s": RetryCounts(95, 10)}), 0.1, direct=True)
+        restarted = heartbeat("10.0.0.2", 1, incarnation=8, repeats={"s": RetryCounts(2, 0)})
         hub.hear(restarted, 0.2, direct=True)
         [section, *_] = hub.zone_sections(_STATE, 0.3)
-        self.assertEqual({"s": RepeatCounts(7, 2)}, section.repeats)
+        self.assertEqual({"s": RetryCounts(7, 2)}, section.repeats)
 
     def test_the_last_heartbeat_of_each_instance_is_acknowledged_at_its_index(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 300), heartbeat("10.0.0.3", 5))
--- a/src/egretrail/cluster/tests/test_zone_peers.py
+++ b/src/egretrail/cluster/tests/test_zone_peers.py
@@ -11,7 +11,7 @@
 
 from egretrail.cluster import Beat, Hub, HubState, Section, ZoneShare
 from egretrail.cluster.tests.messages import heartbeat
-from egretrail.dispatch import RepeatCounts
+from egretrail.dispatch import RetryCounts
 from egretrail.testing import EgretrailTestCase
 
 _KEYS = [3, 18, 33]
@@ -25,7 +25,7 @@
         self.address = address
         self.sequence = 0
         self.loads: dict[int, int] = {}
-        self.counts = RepeatCounts()
+        self.counts = RetryCounts()
         self.zone_peers = ZoneShare()
         self.ack_index: int | None = None
 
@@ -63,7 +63,7 @@
         """Start a request, which also counts as a retry."""
         one = self.instances[address]
         one.loads[key] = one.loads.get(key, 0) + 1
-        one.counts = RepeatCounts(one.counts.requests + 1, one.counts.repeats + 1)
+        one.counts = RetryCounts(one.counts.requests + 1, one.counts.retries + 1)
 
     @rule(address=st.sampled_from([_OWN, _OTHER]), key=st.sampled_from(_KEYS))
     def end_request(self, address: str, key: int) -> None:
@@ -108,8 +108,8 @@
         if not hasattr(self, "instances"):
             return
         for address, one in self.instances.items():
-            retries_made = sum(o.counts.repeats for a, o in self.instances.items() if a != address)
-            retries_counted = one.zone_peers.repeats().get("s", RepeatCounts()).repeats
+            retries_made = sum(o.counts.retries for a, o in self.instances.items() if a != address)
+            retries_counted = one.zone_peers.repeats().get("s", RetryCounts()).retries
             assert retries_counted <= retries_made, (address, retries_counted, retries_made)
 
     def teardown(self) -> None:
@@ -144,19 +144,19 @@
             for one in instances:
                 if rng.random() < 0.7:
                     counts = one.counts
-                    one.counts = RepeatCounts(counts.requests + 1, counts.repeats + 1)
+                    one.counts = RetryCounts(counts.requests + 1, counts.retries + 1)
                 if rng.random() < 0.6:
                     hub.hear(one.heartbeat(round_ / 10), round_ / 10, direct=True)
             for section in hub.zone_sections(HubState(1, 1), round_ / 10):
                 for one in instances:
                     one.apply_section(section)
             if round_ == 10:
-                base = instances[1].counts.repeats
+                base = instances[1].counts.retries
         for one in instances:
             hub.hear(one.heartbeat(21.0), 21.0, direct=True)
         for section in hub.zone_sections(HubState(1, 1), 21.0):
             instances[0].apply_section(section)
-        retries_counted = instances[0].zone_peers.repeats()["s"].repeats
-        retries_made = instances[1].counts.repeats
+        retries_counted = instances[0].zone_peers.repeats()["s"].retries
+        retries_made = instances[1].counts.retries
         self.assertLessEqual(retries_counted, retries_made)
         self.assertGreaterEqual(retries_counted, retries_made - base)
--- a/src/egretrail/dispatch/__init__.py
+++ b/src/egretrail/dispatch/__init__.py
@@ -6,59 +6,64 @@
 
 from egretrail.dispatch._crashing_requests import CrashingRequests, RequestDigest, request_digest
 from egretrail.dispatch._durations import ServiceDurations
-from egretrail.dispatch._limits import LimitPlace, StatedLimit, UpstreamLimits
+from egretrail.dispatch._limits import AdvertisedLimit, AdvertisedLimits, LimitPosition
 from egretrail.dispatch._load import FleetLoad
 from egretrail.dispatch._observation import Observation, Outcome
 from egretrail.dispatch._placement import Choice, Placement, PlacementQuery, Refusal, RefusalReason
 from egretrail.dispatch._quotas import (
     COUNT_MODULUS,
+    AccountCounter,
     AccountCounts,
     AccountQuotas,
     AccountReport,
-    CountedAccount,
-    OverQuota,
+    QuotaExceeded,
     QuotaTerms,
     account_key,
-    news_of,
+    new_counts,
 )
-from egretrail.dispatch._response_sizes import AnswerSizes
-from egretrail.dispatch._retry_budget import RepeatBudget, RepeatCounts
+from egretrail.dispatch._response_sizes import ResponseSizes
+from egretrail.dispatch._retry_budget import FleetRetryBudget, RetryCounts
 from egretrail.dispatch._slot_shares import SlotShares
-from egretrail.dispatch._suspicion import FIRST_PAUSE_S, DoubtRecord, Standing, SuspicionBook
-from egretrail.dispatch._trials import TrialPace
+from egretrail.dispatch._suspicion import (
+    FIRST_PAUSE_S,
+    SuspicionRecord,
+    SuspicionTable,
+    UpstreamHealth,
+)
+from egretrail.dispatch._trials import TrialScheduler
 
 __all__ = [
     "COUNT_MODULUS",
     "FIRST_PAUSE_S",
+    "AccountCounter",
     "AccountCounts",
     "AccountQuotas",
     "AccountReport",
-    "AnswerSizes",
+    "AdvertisedLimit",
+    "AdvertisedLimits",
     "Choice",
-    "CountedAccount",
     "CrashingRequests",
-    "DoubtRecord",
     "FleetLoad",
-    "LimitPlace",
+    "FleetRetryBudget",
+    "LimitPosition",
     "Observation",
     "Outcome",
-    "OverQuota",
     "Placement",
     "PlacementQuery",
+    "QuotaExceeded",
     "QuotaTerms",
     "Refusal",
     "RefusalReason",
-    "RepeatBudget",
-    "RepeatCounts",
     "RequestDigest",
+    "ResponseSizes",
+    "RetryCounts",
     "ServiceDurations",
     "SlotShares",
-    "Standing",
-    "StatedLimit",
-    "SuspicionBook",
-    "TrialPace",
-    "UpstreamLimits",
+    "SuspicionRecord",
+    "SuspicionTable",
+    "TrialScheduler",
+    "UpstreamHealth",
     "account_key",
-    "news_of",
+    "new_counts",
     "request_digest",
 ]
--- a/src/egretrail/dispatch/_crashing_requests.py
+++ b/src/egretrail/dispatch/_crashing_requests.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._losses_s: dict[RequestDigest, dict[str, float]] = {}
 
-    def lost(self, digest: RequestDigest, upstream_id: str, now_s: float) -> None:
+    def record_loss(self, digest: RequestDigest, upstream_id: str, now_s: float) -> None:
         """Record an upstream whose connection broke while it ran a request."""
         loss_times_s = self._losses_s.pop(digest, {})
         loss_times_s[upstream_id] = now_s
@@ -45,11 +45,11 @@
         if len(self._losses_s) > _REQUESTS_MAX:
             del self._losses_s[next(iter(self._losses_s))]
 
-    def answered(self, digest: RequestDigest) -> None:
+    def clear(self, digest: RequestDigest) -> None:
         """Drop the losses of a request that was answered; they had another cause."""
         self._losses_s.pop(digest, None)
 
-    def refuses(self, digest: RequestDigest, now_s: float) -> bool:
+    def is_blocked(self, digest: RequestDigest, now_s: float) -> bool:
         """Return whether a request has crashed too many upstreams to be run again."""
         loss_times_s = self._losses_s.get(digest)
         if loss_times_s is None:
--- a/src/egretrail/dispatch/_durations.py
+++ b/src/egretrail/dispatch/_durations.py
@@ -20,7 +20,7 @@
         self._service_means_s: dict[str, float] = {}
         self._upstream_means_s: dict[str, float] = {}
 
-    def observe(self, service: str, upstream_id: str, duration_s: float) -> None:
+    def record(self, service: str, upstream_id: str, duration_s: float) -> None:
         """Record the duration of an answered request."""
         mean_s = self._service_means_s.get(service, _INITIAL_MEAN_S)
         clipped_s = min(duration_s, _CLIP_FACTOR * mean_s)
@@ -43,6 +43,6 @@
         observed_s = self._upstream_means_s.get(upstream_id)
         return 1.0 if observed_s is None else observed_s / self.mean_s(service)
 
-    def forget(self, upstream_id: str) -> None:
+    def remove_upstream(self, upstream_id: str) -> None:
         """Remove an upstream that is no longer listed."""
         self._upstream_means_s.pop(upstream_id, None)
--- a/src/egretrail/dispatch/_limits.py
+++ b/src/egretrail/dispatch/_limits.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitPlace:
+class LimitPosition:
     """Position of this instance among those that share an upstream's limit."""
 
     #: Whether the instances of this zone share the limit if it is too small for the whole fleet.
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatedLimit:
+class AdvertisedLimit:
     """A limit that an upstream advertised."""
 
     #: Id of the upstream's lifetime.
@@ -88,7 +88,7 @@
     #: Requests per second that it accepts from all instances together; None for no limit.
     limit_per_s: float | None
     #: When it advertised the limit, by this instance's clock.
-    stated_s: float
+    advertised_s: float
 
 
 @dataclass(slots=True)
@@ -96,9 +96,9 @@
     """State of one upstream's limit."""
 
     #: The newest advertisement.
-    advertised: StatedLimit
+    advertised: AdvertisedLimit
     #: The advertisement that was last published to the peers; None if none was.
-    published: StatedLimit | None = None
+    published: AdvertisedLimit | None = None
     #: This instance's share of the limit, and the time until which it is valid.
     share: LimitShare = LimitShare()
     share_until_s: float = float("-inf")
@@ -107,16 +107,16 @@
     refilled_s: float = 0.0
 
 
-class UpstreamLimits:
+class AdvertisedLimits:
     """The limits that upstreams advertised, and this instance's shares of them."""
 
-    def __init__(self, position: Callable[[UpstreamRecord], LimitPlace]) -> None:
+    def __init__(self, position: Callable[[UpstreamRecord], LimitPosition]) -> None:
         self._position = position
         self._limits: dict[str, _LimitState] = {}
 
-    def named(
+    def record_advertised(
         self, upstream_id: str, limit_per_s: float | None, now_s: float
-    ) -> StatedLimit | None:
+    ) -> AdvertisedLimit | None:
         """Record the limit in a response to this instance; return it if peers must be notified."""
         known = self._limits.get(upstream_id)
         if limit_per_s is None:
@@ -124,20 +124,20 @@
             if (
                 not is_limited
                 or known is None
-                or now_s - known.advertised.stated_s < _REMOVAL_GRACE_S
+                or now_s - known.advertised.advertised_s < _REMOVAL_GRACE_S
             ):
                 return None
-        advertised = StatedLimit(upstream_id, limit_per_s, now_s)
+        advertised = AdvertisedLimit(upstream_id, limit_per_s, now_s)
         limit = self._record(advertised, now_s)
         if limit.published is not None and not _must_publish(advertised, limit.published):
             return None
         limit.published = advertised
         return advertised
 
-    def hear(self, advertised: StatedLimit, now_s: float) -> bool:
+    def apply_peer_limit(self, advertised: AdvertisedLimit, now_s: float) -> bool:
         """Apply a limit advertised to another instance; return whether it is newer."""
         known = self._limits.get(advertised.upstream_id)
-        if known is not None and advertised.stated_s <= known.advertised.stated_s:
+        if known is not None and advertised.advertised_s <= known.advertised.advertised_s:
             return False
         self._record(advertised, now_s).published = advertised
         return True
@@ -161,7 +161,7 @@
             return True
         return not spare_only and self._refill(limit, record, now_s) >= 1.0
 
-    def sent(self, record: UpstreamRecord, now_s: float) -> None:
+    def record_send(self, record: UpstreamRecord, now_s: float) -> None:
         """Take a token for a request that is sent to an upstream."""
         limit = self._active_limit(record, now_s)
         if limit is not None:
@@ -191,7 +191,7 @@
         for upstream_id in self._limits.keys() - set(upstream_ids):
             del self._limits[upstream_id]
 
-    def _record(self, advertised: StatedLimit, now_s: float) -> _LimitState:
+    def _record(self, advertised: AdvertisedLimit, now_s: float) -> _LimitState:
         limit = self._limits.get(advertised.upstream_id)
         if limit is None:
             limit = self._limits[advertised.upstream_id] = _LimitState(
@@ -207,7 +207,7 @@
         limit = self._limits.get(record.id)
         if limit is None or limit.advertised.limit_per_s is None:
             return None
-        return limit if now_s - limit.advertised.stated_s <= _EXPIRY_S else None
+        return limit if now_s - limit.advertised.advertised_s <= _EXPIRY_S else None
 
     def _current_share(
         self, limit: _LimitState, record: UpstreamRecord, now_s: float
@@ -230,11 +230,11 @@
         return limit.tokens
 
 
-def _must_publish(advertised: StatedLimit, published: StatedLimit) -> bool:
+def _must_publish(advertised: AdvertisedLimit, published: AdvertisedLimit) -> bool:
     if advertised.limit_per_s is None or published.limit_per_s is None:
         return advertised.limit_per_s is not published.limit_per_s
     change = abs(advertised.limit_per_s - published.limit_per_s)
     return (
         change > published.limit_per_s * _REPUBLISH_CHANGE
-        or advertised.stated_s - published.stated_s >= _REPUBLISH_INTERVAL_S
+        or advertised.advertised_s - published.advertised_s >= _REPUBLISH_INTERVAL_S
     )
--- a/src/egretrail/dispatch/_load.py
+++ b/src/egretrail/dispatch/_load.py
@@ -27,13 +27,13 @@
         self._busy_since_s: dict[str, float] = {}
         self._last_response_s: dict[str, float] = {}
 
-    def started(self, upstream_id: str, now_s: float) -> None:
+    def record_start(self, upstream_id: str, now_s: float) -> None:
         """Count a request that this instance sends."""
         self._own_counts[upstream_id] = self._own_counts.get(upstream_id, 0) + 1
         self._add(upstream_id, 1, now_s)
         self._last_use_s[upstream_id] = now_s
 
-    def finished(self, upstream_id: str) -> None:
+    def record_finish(self, upstream_id: str) -> None:
         """Discount a request that this instance sent."""
         remaining = self._own_counts.get(upstream_id, 0) - 1
         if remaining > 0:
@@ -42,13 +42,13 @@
             self._own_counts.pop(upstream_id, None)
         self._add(upstream_id, -1, 0.0)
 
-    def told(self, origin: str, counts: Mapping[str, int], now_s: float) -> None:
+    def replace_peer_counts(self, origin: str, counts: Mapping[str, int], now_s: float) -> None:
         """Replace all counts of a peer or zone."""
         before = self._peer_counts.get(origin, {})
         removed = dict.fromkeys(before.keys() - counts.keys(), 0)
-        self.changed(origin, {**removed, **counts}, now_s)
+        self.update_peer_counts(origin, {**removed, **counts}, now_s)
 
-    def changed(self, origin: str, counts: Mapping[str, int], now_s: float) -> None:
+    def update_peer_counts(self, origin: str, counts: Mapping[str, int], now_s: float) -> None:
         """Update the counts of some upstreams for a peer or zone; 0 removes a count."""
         known = self._peer_counts.setdefault(origin, {})
         for upstream_id, count in counts.items():
@@ -61,23 +61,23 @@
             if change:
                 self._add(upstream_id, change, now_s)
 
-    def forget(self, origin: str) -> None:
+    def remove_peer(self, origin: str) -> None:
         """Remove the counts of an instance that is gone."""
         for upstream_id, count in self._peer_counts.pop(origin, {}).items():
             self._add(upstream_id, -count, 0.0)
 
-    def answered(self, upstream_id: str, now_s: float) -> None:
+    def record_response(self, upstream_id: str, now_s: float) -> None:
         """Record that an upstream responded to any instance, which shows that it is alive."""
         self._last_response_s[upstream_id] = now_s
 
-    def quiet_for_s(self, upstream_id: str, now_s: float) -> float:
+    def unresponsive_for_s(self, upstream_id: str, now_s: float) -> float:
         """Return how long an upstream with requests in flight has given no known response."""
         busy_since_s = self._busy_since_s.get(upstream_id)
         if busy_since_s is None:
             return 0.0
         return now_s - max(busy_since_s, self._last_response_s.get(upstream_id, busy_since_s))
 
-    def report(self, upstream_id: str, count: int, now_s: float) -> None:
+    def record_reported_load(self, upstream_id: str, count: int, now_s: float) -> None:
         """Record the load that an upstream reported in a response, without the answered request."""
         self._reported_loads[upstream_id] = (count, now_s)
         self._last_use_s.setdefault(upstream_id, now_s)
--- a/src/egretrail/dispatch/_placement.py
+++ b/src/egretrail/dispatch/_placement.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 
 from egretrail.dispatch._durations import ServiceDurations
-from egretrail.dispatch._limits import LimitPlace, UpstreamLimits
+from egretrail.dispatch._limits import AdvertisedLimits, LimitPosition
 from egretrail.dispatch._load import FleetLoad
-from egretrail.dispatch._suspicion import Standing, SuspicionBook
-from egretrail.dispatch._trials import TrialPace
+from egretrail.dispatch._suspicion import SuspicionTable, UpstreamHealth
+from egretrail.dispatch._trials import TrialScheduler
 from egretrail.traffic import UpstreamRecord
 
 #: Cost of an upstream in another availability zone, as a share of its slots. Cross-zone traffic
@@ -81,15 +81,15 @@
     #: The service to which the request is routed.
     service: str
     #: Time until the client stops waiting for the response.
-    left_s: float
+    remaining_s: float
     #: Time until the response misses the latency objective of its route.
-    worth_s: float
+    objective_remaining_s: float
     #: Whether the request may run more than once and has attempts left.
-    repeatable: bool
+    is_retryable: bool
     #: Shortest objective of the service's more urgent requests; None if there are none.
     urgent_objective_s: float | None = None
     #: Typical size of the responses of the request's route; 0 if unknown.
-    answer_bytes: float = 0.0
+    response_bytes: float = 0.0
     #: Whether to use only capacity that no other request needs, as for a hedged request.
     spare_only: bool = False
     #: Upstreams that must not be chosen.
@@ -107,9 +107,9 @@
     #: Requests that the fleet has in flight at the upstream, without this one.
     in_flight: int
     #: Whether this request is the trial of a suspected upstream.
-    trial: bool
+    is_trial: bool
     #: Number of upstreams considered.
-    considered: int
+    candidate_count: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,15 +135,15 @@
     #: Typical durations.
     durations: ServiceDurations
     #: Suspicions about upstreams.
-    suspicion: SuspicionBook
+    suspicion: SuspicionTable
     #: When failed upstreams are tried again.
-    trials: TrialPace
+    trials: TrialScheduler
     #: Until when upstreams that have just started are slow.
-    warm_from_s: dict[str, float] = field(default_factory=dict)
+    warmup_until_s: dict[str, float] = field(default_factory=dict)
     #: The limits that upstreams advertised.
-    limits: UpstreamLimits = field(default_factory=lambda: UpstreamLimits(_sole_position))
+    limits: AdvertisedLimits = field(default_factory=lambda: AdvertisedLimits(_sole_position))
     #: Whether a slot of an upstream is this instance's share.
-    owns: Callable[[UpstreamRecord], bool] = lambda record: True
+    has_slot_share: Callable[[UpstreamRecord], bool] = lambda record: True
     #: Breaks ties, so that instances with equal views choose different upstreams.
     rng: random.Random = field(default_factory=random.Random)
 
@@ -159,7 +159,7 @@
         """
         candidates = [record for record in ready if record.id not in query.excluded]
         if not candidates:
-            return Refusal(RefusalReason.NO_UPSTREAM, self.pause_s(query.service))
+            return Refusal(RefusalReason.NO_UPSTREAM, self.retry_after_s(query.service))
         within_limits = [
             record
             for record in candidates
@@ -168,7 +168,7 @@
         if not within_limits:
             # Clients retry a few times only, each time at another instance: spread them over time.
             retry_after_s = max(
-                self.limits.retry_after_s(candidates, now_s), self.pause_s(query.service)
+                self.limits.retry_after_s(candidates, now_s), self.retry_after_s(query.service)
             )
             return Refusal(RefusalReason.LIMITED, retry_after_s)
         suspects: list[UpstreamRecord] = []
@@ -178,29 +178,29 @@
         free: UpstreamRecord | None = None
         free_cost = float("inf")
         for record in within_limits:
-            health = self.suspicion.standing(record.id, now_s)
-            if health in (Standing.SUSPECT, Standing.PROBATION):
+            health = self.suspicion.health(record.id, now_s)
+            if health in (UpstreamHealth.SUSPECT, UpstreamHealth.PROBATION):
                 suspects.append(record)
                 continue
             cost = self._cost(query, record, now_s)
-            if health is Standing.UNREACHED:
+            if health is UpstreamHealth.UNREACHABLE_FROM_HERE:
                 cost += _UNREACHABLE_COST
             else:
                 in_service.append(record)
-            if health is Standing.DOUBTED:
+            if health is UpstreamHealth.WEAKLY_SUSPECT:
                 cost += _WEAK_SUSPICION_COST
             if cost < best_cost:
                 best, best_cost = record, cost
             if cost < free_cost and self.load.in_flight(record.id, now_s) < record.slots:
                 free, free_cost = record, cost
         if not query.spare_only:
-            trial = self.trials.due(
-                query.service, suspects, in_service, now_s, is_retryable=query.repeatable
+            trial = self.trials.find_due(
+                query.service, suspects, in_service, now_s, is_retryable=query.is_retryable
             )
             if trial is not None:
                 return Choice(trial, 0, True, len(candidates))
         if best is None or (query.spare_only and best_cost >= _SPARE_COST_MAX):
-            return Refusal(RefusalReason.ALL_SUSPECT, self.pause_s(query.service))
+            return Refusal(RefusalReason.ALL_SUSPECT, self.retry_after_s(query.service))
         chosen = best
         refusal = self._late_refusal(query, best, now_s)
         if refusal is not None:
@@ -231,12 +231,14 @@
             return None
         mean_s = self.durations.upstream_mean_s(query.service, record.id)
         wait_s = (in_flight + 1 - record.slots) / record.slots * mean_s
-        is_late = wait_s + mean_s * _OBJECTIVE_DURATION_FACTOR > query.worth_s > mean_s
+        is_late = (
+            wait_s + mean_s * _OBJECTIVE_DURATION_FACTOR > query.objective_remaining_s > mean_s
+        )
         if query.urgent_objective_s is not None:
             # No request waits for longer than a more urgent one may.
             urgent_wait_s = query.urgent_objective_s - mean_s * _OBJECTIVE_DURATION_FACTOR
             is_late = is_late or wait_s > max(urgent_wait_s, 0.0)
-        if is_late or wait_s + mean_s * _DEADLINE_DURATION_FACTOR > query.left_s:
+        if is_late or wait_s + mean_s * _DEADLINE_DURATION_FACTOR > query.remaining_s:
             return Refusal(RefusalReason.NO_TIME, _clamp_retry_after(wait_s), wait_s)
         return None
 
@@ -246,13 +248,13 @@
             cost += self._cross_zone_cost(query)
         else:
             cost += self._unresponsive_cost(record, now_s)
-        if not query.spare_only and not self.owns(record):
+        if not query.spare_only and not self.has_slot_share(record):
             cost += _NO_SLOT_SHARE_COST
         if record.id not in query.connected:
             cost += _NEW_CONNECTION_COST
         if self.suspicion.is_shedding(record.id, now_s):
             cost += _SHEDDING_COST
-        if self.warm_from_s.get(record.id, 0.0) > now_s:
+        if self.warmup_until_s.get(record.id, 0.0) > now_s:
             cost += _WARMUP_COST
         slowness = self.durations.slowness(query.service, record.id)
         if slowness > _SLOWNESS_THRESHOLD:
@@ -267,7 +269,7 @@
         two. The cost applies within the own zone because instances learn of all responses only
         there.
         """
-        unresponsive_s = self.load.quiet_for_s(record.id, now_s)
+        unresponsive_s = self.load.unresponsive_for_s(record.id, now_s)
         if unresponsive_s <= 0.0:
             return 0.0
         excess = unresponsive_s / self.durations.mean_s(record.service) - _UNRESPONSIVE_THRESHOLD
@@ -279,17 +281,17 @@
         Responses range from a kilobyte to a hundred kilobytes by kind. Cross-zone traffic costs
         money, and a wait of some milliseconds in the own zone costs the client nothing.
         """
-        bytes_cost = min(query.answer_bytes / _BYTES_PER_COST_UNIT, _BYTES_COST_MAX)
+        bytes_cost = min(query.response_bytes / _BYTES_PER_COST_UNIT, _BYTES_COST_MAX)
         return _CROSS_ZONE_COST + bytes_cost
 
-    def pause_s(self, service: str) -> float:
+    def retry_after_s(self, service: str) -> float:
         """Return when to retry at a service without free capacity: one typical duration."""
         return _clamp_retry_after(self.durations.mean_s(service))
 
 
-def _sole_position(_: UpstreamRecord) -> LimitPlace:
+def _sole_position(_: UpstreamRecord) -> LimitPosition:
     """Return the position of an instance that is alone."""
-    return LimitPlace(True, 0, 1, 1, 1.0)
+    return LimitPosition(True, 0, 1, 1, 1.0)
 
 
 def _clamp_retry_after(wait_s: float) -> float:
--- a/src/egretrail/dispatch/_quotas.py
+++ b/src/egretrail/dispatch/_quotas.py
@@ -70,23 +70,24 @@
     """Request counts of one account, modulo ``COUNT_MODULUS``."""
 
     #: Requests received.
-    asked: int = 0
+    received: int = 0
     #: The part of them that was sent to an upstream.
     sent: int = 0
 
     def plus(self, other: "AccountCounts") -> "AccountCounts":
         """Return the sum of two counts."""
         return AccountCounts(
-            (self.asked + other.asked) % COUNT_MODULUS, (self.sent + other.sent) % COUNT_MODULUS
+            (self.received + other.received) % COUNT_MODULUS,
+            (self.sent + other.sent) % COUNT_MODULUS,
         )
 
     def since(self, before: "AccountCounts") -> "AccountCounts":
         """Return the counts added since earlier ones; zero if those are in fact the later ones."""
-        asked = (self.asked - before.asked) % COUNT_MODULUS
+        received = (self.received - before.received) % COUNT_MODULUS
         sent = (self.sent - before.sent) % COUNT_MODULUS
-        if max(asked, sent) >= COUNT_MODULUS // 2:
+        if max(received, sent) >= COUNT_MODULUS // 2:
             return AccountCounts()
-        return AccountCounts(asked, sent)
+        return AccountCounts(received, sent)
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +100,7 @@
     recent: AccountCounts
 
 
-class CountedAccount:
+class AccountCounter:
     """Counter of one account's requests, in total and in the last demand window."""
 
     __slots__ = ("_received", "_sent", "changed_s", "total")
@@ -116,10 +117,10 @@
         """Add counts; ``now_s`` must not be before that of earlier calls."""
         self.total = self.total.plus(counts)
         self.changed_s = now_s
-        self._received.add(counts.asked, now_s)
+        self._received.add(counts.received, now_s)
         self._sent.add(counts.sent, now_s)
 
-    def asked(self, now_s: float) -> int:
+    def received(self, now_s: float) -> int:
         """Return the requests received in the last demand window."""
         return self._received.total(now_s)
 
@@ -128,12 +129,12 @@
         recent = AccountCounts(self._received.total(now_s), self._sent.total(now_s))
         return AccountReport(self.total, recent)
 
-    def is_told(self, now_s: float) -> bool:
+    def needs_report(self, now_s: float) -> bool:
         """Return whether it changed so recently that other instances may not know."""
         return now_s - self.changed_s <= _REPORT_FOR_S
 
 
-def news_of(report: AccountReport, before: AccountCounts | None) -> AccountCounts:
+def new_counts(report: AccountReport, before: AccountCounts | None) -> AccountCounts:
     """Return what a report adds to the last one of the same sender; None if there is none."""
     return report.recent if before is None else report.total.since(before)
 
@@ -156,13 +157,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OverQuota:
+class QuotaExceeded:
     """A request that its account's quota does not admit."""
 
     #: When the quota may admit requests again.
     retry_after_s: float
     #: Requests that the window has left now; negative if it exceeds its limit.
-    room: float
+    remaining: float
     #: Requests per second that the fleet receives of the account.
     demand_per_s: float
 
@@ -176,7 +177,7 @@
     #: Requests that this instance sent in the window.
     own_sent: SlidingSum
     #: All requests of this instance, and the part of them that the zone's reports include.
-    own: CountedAccount = field(default_factory=CountedAccount)
+    own: AccountCounter = field(default_factory=AccountCounter)
     acknowledged: AccountCounts = AccountCounts()
     #: Requests that the fleet received.
     received: SlidingSum = field(default_factory=lambda: SlidingSum(_DEMAND_WINDOW_S))
@@ -246,24 +247,24 @@
             self._windows[key] = before.get(key) or self._new_window(account, now_s)
 
     def admit(
-        self, account: ClientAccount, now_s: float, known_share: float, *, hears_all: bool
-    ) -> OverQuota | None:
+        self, account: ClientAccount, now_s: float, known_share: float, *, all_zones_reporting: bool
+    ) -> QuotaExceeded | None:
         """Count a received request; return why it is refused, or None.
 
-        ``known_share`` is the part of the fleet whose reports arrive. ``hears_all`` is False while
-        a zone that is included in this part sends no reports.
+        ``known_share`` is the part of the fleet whose reports arrive. ``all_zones_reporting`` is
+        False while a zone that is included in this part sends no reports.
         """
         window = self._windows.get(account_key(account.name))
         if window is None:
             return None
-        window.own.add(AccountCounts(asked=1), now_s)
+        window.own.add(AccountCounts(received=1), now_s)
         share = min(known_share * _KNOWN_SHARE_FACTOR, 1.0)
         self._record_unreachable(share, now_s)
         remaining = self._remaining(window, self._terms.limit(account), share, now_s)
-        demand_per_s = self._demand(window, now_s, share, hears_all=hears_all)
+        demand_per_s = self._demand(window, now_s, share, all_zones_reporting=all_zones_reporting)
         limit = self._terms.limit(account)
         limit_per_s = limit / self._terms.window_s
-        is_calm = hears_all and share >= _MINORITY_SHARE
+        is_calm = all_zones_reporting and share >= _MINORITY_SHARE
         if is_calm and remaining.requests >= limit * _BURST_SHARE:
             surge_per_s = max(window.received_surge.total(now_s) / _SURGE_WINDOW_S, demand_per_s)
             if remaining.requests >= surge_per_s * _REPORT_DELAY_S:
@@ -271,7 +272,7 @@
         admitted_per_s = remaining.growth_per_s + remaining.requests / _CORRECTION_S
         if is_calm and remaining.requests >= limit_per_s * _REPORT_DELAY_S:
             admitted_per_s = max(remaining.growth_per_s, limit_per_s)
-        if not hears_all:
+        if not all_zones_reporting:
             # What the other instances admit meanwhile is not in the window.
             admitted_per_s = min(admitted_per_s, limit_per_s * share)
         admitted_share = max(admitted_per_s, 0.0) / max(demand_per_s, 1.0)
@@ -279,9 +280,9 @@
             return None
         # Spread the retries of clients that are refused at the same time.
         wait_s = (1.0 - admitted_share) * _CORRECTION_S * (0.5 + self._rng.random())
-        return OverQuota(max(wait_s, _RETRY_MIN_S), remaining.requests, demand_per_s)
+        return QuotaExceeded(max(wait_s, _RETRY_MIN_S), remaining.requests, demand_per_s)
 
-    def sent(self, account: ClientAccount, now_s: float) -> None:
+    def record_send(self, account: ClientAccount, now_s: float) -> None:
         """Count a request that is sent to an upstream for the first time."""
         window = self._windows.get(account_key(account.name))
         if window is not None:
@@ -293,10 +294,10 @@
         return {
             key: window.own.report(now_s)
             for key, window in self._windows.items()
-            if window.own.is_told(now_s)
+            if window.own.needs_report(now_s)
         }
 
-    def acknowledged(self, reports: Mapping[int, AccountReport]) -> None:
+    def apply_acknowledgement(self, reports: Mapping[int, AccountReport]) -> None:
         """Record which counts of this instance are included in the reports of its zone."""
         for key, report in reports.items():
             window = self._windows.get(key)
@@ -304,20 +305,22 @@
                 new = report.total.since(window.acknowledged)
                 window.acknowledged = window.acknowledged.plus(new)
 
-    def told(self, hub_lifetime: str, reports: Mapping[int, AccountReport], now_s: float) -> None:
+    def apply_zone_reports(
+        self, hub_lifetime: str, reports: Mapping[int, AccountReport], now_s: float
+    ) -> None:
         """Apply the aggregates of a zone, by the lifetime of its hub; the difference is new."""
         known = self._last_totals.setdefault(hub_lifetime, {})
         for key, report in reports.items():
             before = known.get(key)
-            new = news_of(report, before)
+            new = new_counts(report, before)
             known[key] = report.total if before is None else before.plus(new)
             window = self._windows.get(key)
             if window is not None:
                 window.sent.add(new.sent, now_s)
-                window.received.add(new.asked, now_s)
-                window.received_surge.add(new.asked, now_s)
+                window.received.add(new.received, now_s)
+                window.received_surge.add(new.received, now_s)
 
-    def forget(self, hub_lifetime: str) -> None:
+    def remove_hub(self, hub_lifetime: str) -> None:
         """Remove a hub that is gone."""
         self._last_totals.pop(hub_lifetime, None)
 
@@ -350,16 +353,18 @@
         self._share_updated_s = now_s
         self._unreachable_us.add(int((1.0 - share) * passed_s * 1e6), now_s)
 
-    def _demand(self, window: _Window, now_s: float, share: float, *, hears_all: bool) -> float:
+    def _demand(
+        self, window: _Window, now_s: float, share: float, *, all_zones_reporting: bool
+    ) -> float:
         """Return the rate of received requests, for the part of the fleet that is known.
 
         A partitioned instance sees its own requests only. Until missing heartbeats show how large
         its part of the fleet is, it uses the last demand that it learned from all zones.
         """
-        asked = window.received.total(now_s)
-        asked += min(window.unacknowledged().asked, window.own.asked(now_s))
-        demand_per_s = asked / _DEMAND_WINDOW_S
-        if hears_all:
+        received = window.received.total(now_s)
+        received += min(window.unacknowledged().received, window.own.received(now_s))
+        demand_per_s = received / _DEMAND_WINDOW_S
+        if all_zones_reporting:
             window.last_demand_per_s = demand_per_s
             return demand_per_s
         return max(demand_per_s, window.last_demand_per_s * share)
--- a/src/egretrail/dispatch/_response_sizes.py
+++ b/src/egretrail/dispatch/_response_sizes.py
@@ -8,13 +8,13 @@
 _ROUTES_MAX = 5_000
 
 
-class AnswerSizes:
+class ResponseSizes:
     """Moving means of response sizes, from the responses that this instance forwarded."""
 
     def __init__(self) -> None:
         self._means_bytes: dict[str, float] = {}
 
-    def observe(self, route: str, size_bytes: int) -> None:
+    def record(self, route: str, size_bytes: int) -> None:
         """Record the size of a response."""
         mean_bytes = self._means_bytes.pop(route, float(size_bytes))
         self._means_bytes[route] = mean_bytes + _WEIGHT * (size_bytes - mean_bytes)
--- a/src/egretrail/dispatch/_retry_budget.py
+++ b/src/egretrail/dispatch/_retry_budget.py
@@ -21,26 +21,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatCounts:
+class RetryCounts:
     """Requests and retries of one service that an instance has counted since its start."""
 
     #: Requests of clients that were routed to the service.
     requests: int = 0
     #: Requests sent to upstreams beyond the first try of each.
-    repeats: int = 0
+    retries: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatUse:
+class RetryBudgetUsage:
     """Usage of a service's retry budget, as one instance sees it."""
 
     #: Retries of the whole fleet in the window.
-    repeats: int
+    retries: int
     #: How many retries the window may have now.
     allowed: float
 
 
-class RepeatBudget:
+class FleetRetryBudget:
     """Permits retries while the fleet's retries stay within a share of its requests.
 
     When upstreams fail or shed load together, every instance retries at once, and retries that
@@ -63,10 +63,10 @@
         self._requests: dict[str, SlidingSum] = {}
         self._retries: dict[str, SlidingSum] = {}
         self._recent_retries: dict[str, SlidingSum] = {}
-        self._own: dict[str, RepeatCounts] = {}
+        self._own: dict[str, RetryCounts] = {}
         self._own_requests: dict[str, SlidingSum] = {}
         self._own_retries: dict[str, SlidingSum] = {}
-        self._peer_counts: dict[tuple[str, str], RepeatCounts] = {}
+        self._peer_counts: dict[tuple[str, str], RetryCounts] = {}
 
     def set_bounds(self, ratio: float, window_s: float, slack: float, now_s: float) -> None:
         """Change the budget; requests and retries that were counted stay counted.
@@ -81,10 +81,10 @@
             for window in table.values():
                 window.set_window(window_s)
 
-    def routed(self, service: str, now_s: float) -> None:
+    def record_request(self, service: str, now_s: float) -> None:
         """Count a client's request."""
-        own = self._own.get(service, RepeatCounts())
-        self._own[service] = RepeatCounts(own.requests + 1, own.repeats)
+        own = self._own.get(service, RetryCounts())
+        self._own[service] = RetryCounts(own.requests + 1, own.retries)
         self._count(self._own_requests, service, 1, now_s)
         self._count(self._requests, service, 1, now_s)
 
@@ -115,28 +115,30 @@
         allowed = _USED_SHARE * self._ratio * requests + _START_SHARE * self._slack * own_share
         return self._total(self._own_retries, service, now_s) + 1 <= allowed
 
-    def uses(self, now_s: float, known_share: float) -> Mapping[str, RepeatUse]:
+    def usage(self, now_s: float, known_share: float) -> Mapping[str, RetryBudgetUsage]:
         """Return the usage of each service's budget, for operators."""
         return {
-            service: RepeatUse(
+            service: RetryBudgetUsage(
                 self._total(self._retries, service, now_s),
                 self._allowed(service, now_s, known_share),
             )
             for service in self._requests
         }
 
-    def repeated(self, service: str, now_s: float) -> None:
+    def record_retry(self, service: str, now_s: float) -> None:
         """Count a retry that is being sent."""
-        own = self._own.get(service, RepeatCounts())
-        self._own[service] = RepeatCounts(own.requests, own.repeats + 1)
+        own = self._own.get(service, RetryCounts())
+        self._own[service] = RetryCounts(own.requests, own.retries + 1)
         self._count(self._own_retries, service, 1, now_s)
         self._count_retries(service, 1, now_s)
 
-    def own_counts(self) -> Mapping[str, RepeatCounts]:
+    def own_counts(self) -> Mapping[str, RetryCounts]:
         """Return this instance's counts since its start, for its peers."""
         return self._own
 
-    def told(self, origin: str, service: str, counts: RepeatCounts, now_s: float) -> None:
+    def apply_peer_counts(
+        self, origin: str, service: str, counts: RetryCounts, now_s: float
+    ) -> None:
         """Apply the counts of a peer's lifetime; the difference to its earlier ones is new."""
         before = self._peer_counts.get((origin, service))
         self._peer_counts[origin, service] = counts
@@ -144,13 +146,13 @@
             # Its counts may be old.
             return
         self._count(self._requests, service, max(counts.requests - before.requests, 0), now_s)
-        self._count_retries(service, max(counts.repeats - before.repeats, 0), now_s)
+        self._count_retries(service, max(counts.retries - before.retries, 0), now_s)
 
     def request_rate(self, service: str, now_s: float) -> float:
         """Return the fleet's requests per second of a service, averaged over the window."""
         return self._total(self._requests, service, now_s) / self._window_s
 
-    def forget(self, origin: str) -> None:
+    def remove_peer(self, origin: str) -> None:
         """Remove an instance that is gone; its retries stay in the window."""
         for key in [key for key in self._peer_counts if key[0] == origin]:
             del self._peer_counts[key]
--- a/src/egretrail/dispatch/_slot_shares.py
+++ b/src/egretrail/dispatch/_slot_shares.py
@@ -21,11 +21,11 @@
         self._rank = rank
         self._holds_share: dict[str, bool] = {}
 
-    def changed(self) -> None:
+    def invalidate(self) -> None:
         """Discard the computed shares, after instances or upstreams were added or removed."""
         self._holds_share.clear()
 
-    def owns(self, record: UpstreamRecord) -> bool:
+    def has_share(self, record: UpstreamRecord) -> bool:
         """Return whether one of an upstream's slots is this instance's share."""
         holds_share = self._holds_share.get(record.id)
         if holds_share is None:
--- a/src/egretrail/dispatch/_suspicion.py
+++ b/src/egretrail/dispatch/_suspicion.py
@@ -41,16 +41,16 @@
 _SHED_MAX_S = 2.0
 
 
-class Standing(enum.Enum):
+class UpstreamHealth(enum.Enum):
     """How an upstream may be used now."""
 
     #: As its load permits.
     GOOD = "good"
     #: After the others: the evidence against it is weak. It may be chance, or an overload of all
     #: upstreams.
-    DOUBTED = "doubted"
+    WEAKLY_SUSPECT = "doubted"
     #: Only as a last resort: this instance's own network path to it failed recently.
-    UNREACHED = "unreached"
+    UNREACHABLE_FROM_HERE = "unreached"
     #: One request at a time, by few instances: it passed a trial.
     PROBATION = "probation"
     #: Not at all until its pause has passed.
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoubtRecord:
+class SuspicionRecord:
     """A suspicion as an instance sends it to another one that has just started."""
 
     #: Id of the upstream's lifetime.
@@ -89,7 +89,7 @@
     successes: int
 
 
-class SuspicionBook:
+class SuspicionTable:
     """Suspicions about upstreams, equal on all instances that receive the same observations."""
 
     def __init__(self, own_name: str) -> None:
@@ -101,7 +101,7 @@
         self._shedding: dict[str, tuple[float, float]] = {}
         self._reachability = ReachabilityTable(own_name)
 
-    def observe(
+    def record_outcome(
         self, observation: Observation, observer: str, typical_s: float, now_s: float
     ) -> None:
         """Record an outcome that was observed now; ``typical_s`` is the typical duration."""
@@ -121,18 +121,18 @@
                 if self._reachability.record_failure(observation.upstream_id, observer, now_s):
                     self._record_unreachable(observation, now_s)
 
-    def standing(self, upstream_id: str, now_s: float) -> Standing:
+    def health(self, upstream_id: str, now_s: float) -> UpstreamHealth:
         """Return how this instance may use an upstream."""
         suspicion = self._suspicions.get(upstream_id)
         if suspicion is not None and not suspicion.is_weak:
-            return Standing.PROBATION if suspicion.successes else Standing.SUSPECT
+            return UpstreamHealth.PROBATION if suspicion.successes else UpstreamHealth.SUSPECT
         if self._reachability.is_paused(upstream_id, now_s):
-            return Standing.UNREACHED
+            return UpstreamHealth.UNREACHABLE_FROM_HERE
         if suspicion is None or now_s - suspicion.since_s > _WEAK_SUSPICION_S:
-            return Standing.GOOD
-        return Standing.DOUBTED
+            return UpstreamHealth.GOOD
+        return UpstreamHealth.WEAKLY_SUSPECT
 
-    def is_clear(self, upstream_id: str) -> bool:
+    def has_no_evidence(self, upstream_id: str) -> bool:
         """Return whether no evidence is held against an upstream, so a success changes nothing."""
         is_known = upstream_id in self._suspicions or upstream_id in self._weak_evidence
         return not is_known and not self._reachability.has_evidence(upstream_id)
@@ -161,7 +161,7 @@
             return now_s - suspicion.last_success_s
         return now_s - suspicion.since_s - suspicion.pause_s * pause_factor
 
-    def records(self, now_s: float) -> list[DoubtRecord]:
+    def export_records(self, now_s: float) -> list[SuspicionRecord]:
         """Return all suspicions that are not weak, for an instance that has just started.
 
         Without them a restarted instance sends its first requests to upstreams that the fleet knows
@@ -169,14 +169,14 @@
         upstreams.
         """
         return [
-            DoubtRecord(
+            SuspicionRecord(
                 upstream_id, now_s - suspicion.since_s, suspicion.pause_s, suspicion.successes
             )
             for upstream_id, suspicion in self._suspicions.items()
             if not suspicion.is_weak
         ]
 
-    def adopt(self, records: Iterable[DoubtRecord], now_s: float) -> None:
+    def import_records(self, records: Iterable[SuspicionRecord], now_s: float) -> None:
         """Add another instance's suspicions about upstreams that are not suspected here."""
         for record in records:
             since_s = now_s - record.age_s
--- a/src/egretrail/dispatch/_trials.py
+++ b/src/egretrail/dispatch/_trials.py
@@ -5,7 +5,7 @@
 
 from egretrail.dispatch._load import FleetLoad
 from egretrail.dispatch._sliding_window import SlidingSum
-from egretrail.dispatch._suspicion import SuspicionBook
+from egretrail.dispatch._suspicion import SuspicionTable
 from egretrail.traffic import UpstreamRecord
 
 #: The number of instances that may try a suspect doubles at this interval. If each instance gets a
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class TrialPace:
+class TrialScheduler:
     """Chooses the suspect, if any, that the next request tries.
 
     Failure periods last from seconds to half a minute, and each trial during one fails. A service
@@ -43,7 +43,7 @@
     #: Requests in flight over the fleet.
     load: FleetLoad
     #: Suspicions about upstreams.
-    suspicion: SuspicionBook
+    suspicion: SuspicionTable
     #: Rank of this instance among those that may try a suspect; 0 is the first.
     rank: Callable[[UpstreamRecord], int] = lambda record: 0
     #: The fleet's requests of a service per second.
@@ -52,11 +52,11 @@
     #: When this instance last had a retryable request of a service.
     _last_retryable_s: dict[str, float] = field(default_factory=dict)
 
-    def failed(self, service: str, now_s: float) -> None:
+    def record_failure(self, service: str, now_s: float) -> None:
         """Count a request that an upstream failed at any instance."""
         self._failures.setdefault(service, SlidingSum(_FAILING_WINDOW_S)).add(1, now_s)
 
-    def due(
+    def find_due(
         self,
         service: str,
         suspects: Sequence[UpstreamRecord],
--- a/src/egretrail/dispatch/tests/test_limits.py
+++ b/src/egretrail/dispatch/tests/test_limits.py
@@ -3,9 +3,11 @@
 from dataclasses import replace
 
 from egretrail.dispatch import (
+    AdvertisedLimit,
+    AdvertisedLimits,
     Choice,
     FleetLoad,
-    LimitPlace,
+    LimitPosition,
     Observation,
     Outcome,
     Placement,
@@ -13,29 +15,27 @@
     Refusal,
     RefusalReason,
     ServiceDurations,
-    StatedLimit,
-    SuspicionBook,
-    TrialPace,
-    UpstreamLimits,
+    SuspicionTable,
+    TrialScheduler,
 )
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
 
 _UPSTREAM = UpstreamRecord("u", "s", "10.0.0.1:80", "a", 3, UpstreamState.READY)
-_ALONE = LimitPlace(True, 0, 1, 1, 1.0)
+_ALONE = LimitPosition(True, 0, 1, 1, 1.0)
 
 
-def _position(rank: int, *, responsible: bool = True, known_share: float = 1.0) -> LimitPlace:
-    return LimitPlace(responsible, rank, 10, 30, known_share)
+def _position(rank: int, *, responsible: bool = True, known_share: float = 1.0) -> LimitPosition:
+    return LimitPosition(responsible, rank, 10, 30, known_share)
 
 
-def _count_sent(limits: UpstreamLimits, from_s: float, for_s: float) -> int:
+def _count_sent(limits: AdvertisedLimits, from_s: float, for_s: float) -> int:
     """Return how many requests are sent if one waits at any time."""
     sent = 0
     for step in range(round(for_s * 100)):
         now_s = from_s + step / 100
         if limits.admits(_UPSTREAM, now_s):
-            limits.sent(_UPSTREAM, now_s)
+            limits.record_send(_UPSTREAM, now_s)
             sent += 1
     return sent
 
@@ -54,7 +54,7 @@
             "limit of zero": (0.0, _position(0), 0.0),
         }
     )
-    def test_share(self, case: tuple[float, LimitPlace, float]) -> None:
+    def test_share(self, case: tuple[float, LimitPosition, float]) -> None:
         limit_per_s, position, rate_per_s = case
         self.assertAlmostEqual(rate_per_s, position.share(limit_per_s).rate_per_s)
 
@@ -76,32 +76,32 @@
     @cases({"none": (None, 400), "two": (2.0, 8), "a_tenth": (0.1, 0), "zero": (0.0, 0)})
     def test_sent_in_4_s(self, case: tuple[float | None, int]) -> None:
         limit_per_s, sent = case
-        limits = UpstreamLimits(lambda _: _ALONE)
-        limits.named("u", limit_per_s, 0.0)
+        limits = AdvertisedLimits(lambda _: _ALONE)
+        limits.record_advertised("u", limit_per_s, 0.0)
         self.assertAlmostEqual(sent, _count_sent(limits, 0.0, 4.0), delta=1)
 
     def test_an_upstream_with_a_limit_of_zero_gets_a_request_now_and_then(self) -> None:
         """Only responses show that a limit has ended."""
-        limits = UpstreamLimits(lambda _: _ALONE)
-        limits.named("u", 0.0, 0.0)
+        limits = AdvertisedLimits(lambda _: _ALONE)
+        limits.record_advertised("u", 0.0, 0.0)
         self.assertEqual(3, _count_sent(limits, 0.0, 25.0))
 
     def test_an_instance_that_takes_over_a_share_starts_without_tokens(self) -> None:
         position = [_position(5)]
-        limits = UpstreamLimits(lambda _: position[0])
-        limits.named("u", 1.0, 0.0)
+        limits = AdvertisedLimits(lambda _: position[0])
+        limits.record_advertised("u", 1.0, 0.0)
         self.assertEqual(0, _count_sent(limits, 0.0, 5.0))
         position[0] = _position(0)
         self.assertFalse(limits.admits(_UPSTREAM, 5.3))
         self.assertTrue(limits.admits(_UPSTREAM, 7.5))
 
     def test_retry_after_is_the_time_until_the_next_token(self) -> None:
-        limits = UpstreamLimits(lambda _: _ALONE)
-        limits.named("u", 2.0, 0.0)
-        limits.sent(_UPSTREAM, 0.0)
+        limits = AdvertisedLimits(lambda _: _ALONE)
+        limits.record_advertised("u", 2.0, 0.0)
+        limits.record_send(_UPSTREAM, 0.0)
         self.assertAlmostEqual(0.5, limits.retry_after_s([_UPSTREAM], 0.0))
-        limits = UpstreamLimits(lambda _: _position(9))
-        limits.named("u", 4.0, 0.0)
+        limits = AdvertisedLimits(lambda _: _position(9))
+        limits.record_advertised("u", 4.0, 0.0)
         self.assertAlmostEqual(0.25, limits.retry_after_s([_UPSTREAM], 0.0))
 
 
@@ -114,28 +114,28 @@
     )
     def test_a_response_without_a_limit_ends_it(self, case: tuple[float, bool]) -> None:
         after_s, ends = case
-        limits = UpstreamLimits(lambda _: _ALONE)
-        limits.named("u", 2.0, 0.0)
-        limits.named("u", None, after_s)
+        limits = AdvertisedLimits(lambda _: _ALONE)
+        limits.record_advertised("u", 2.0, 0.0)
+        limits.record_advertised("u", None, after_s)
         self.assertEqual(ends, limits.limit_per_s("u") is None)
 
     def test_an_older_limit_from_a_peer_is_ignored(self) -> None:
-        limits = UpstreamLimits(lambda _: _ALONE)
-        limits.named("u", 2.0, 0.0)
-        limits.named("u", None, 1.0)
-        self.assertFalse(limits.hear(StatedLimit("u", 2.0, 0.5), 1.2))
-        self.assertTrue(limits.hear(StatedLimit("u", 3.0, 1.5), 1.6))
+        limits = AdvertisedLimits(lambda _: _ALONE)
+        limits.record_advertised("u", 2.0, 0.0)
+        limits.record_advertised("u", None, 1.0)
+        self.assertFalse(limits.apply_peer_limit(AdvertisedLimit("u", 2.0, 0.5), 1.2))
+        self.assertTrue(limits.apply_peer_limit(AdvertisedLimit("u", 3.0, 1.5), 1.6))
         self.assertEqual(3.0, limits.limit_per_s("u"))
 
     def test_a_limit_expires_if_it_is_not_advertised_again(self) -> None:
-        limits = UpstreamLimits(lambda _: _position(9))
-        limits.named("u", 1.0, 0.0)
+        limits = AdvertisedLimits(lambda _: _position(9))
+        limits.record_advertised("u", 1.0, 0.0)
         self.assertFalse(limits.admits(_UPSTREAM, 29.0))
         self.assertTrue(limits.admits(_UPSTREAM, 31.0))
 
     def test_another_lifetime_has_no_limit(self) -> None:
-        limits = UpstreamLimits(lambda _: _position(9))
-        limits.named("u", 1.0, 0.0)
+        limits = AdvertisedLimits(lambda _: _position(9))
+        limits.record_advertised("u", 1.0, 0.0)
         limits.keep_only({"u~2"})
         self.assertIsNone(limits.limit_per_s("u"))
 
@@ -152,24 +152,24 @@
     )
     def test_what_is_published_to_peers(self, case: tuple[float | None, float, bool]) -> None:
         limit_per_s, at_s, is_published = case
-        limits = UpstreamLimits(lambda _: _ALONE)
-        self.assertIsNotNone(limits.named("u", 2.0, 0.0))
-        self.assertEqual(is_published, limits.named("u", limit_per_s, at_s) is not None)
+        limits = AdvertisedLimits(lambda _: _ALONE)
+        self.assertIsNotNone(limits.record_advertised("u", 2.0, 0.0))
+        self.assertEqual(is_published, limits.record_advertised("u", limit_per_s, at_s) is not None)
 
 
 class PlacementTest(EgretrailTestCase):
     def _placement(self, limits_per_s: dict[str, float]) -> Placement:
-        load, suspicion = FleetLoad(), SuspicionBook("me")
-        limits = UpstreamLimits(lambda _: _ALONE)
+        load, suspicion = FleetLoad(), SuspicionTable("me")
+        limits = AdvertisedLimits(lambda _: _ALONE)
         for name, limit_per_s in limits_per_s.items():
-            limits.named(name, limit_per_s, 0.0)
-            limits.sent(replace(_UPSTREAM, name=name), 0.0)
-        trials = TrialPace(load, suspicion)
+            limits.record_advertised(name, limit_per_s, 0.0)
+            limits.record_send(replace(_UPSTREAM, name=name), 0.0)
+        trials = TrialScheduler(load, suspicion)
         return Placement("a", load, ServiceDurations(), suspicion, trials, limits=limits)
 
     def _choose(self, placement: Placement, now_s: float) -> Choice | Refusal:
         ready = [replace(_UPSTREAM, name=name) for name in ("u", "v")]
-        query = PlacementQuery("s", left_s=3.0, worth_s=3.0, repeatable=False)
+        query = PlacementQuery("s", remaining_s=3.0, objective_remaining_s=3.0, is_retryable=False)
         return placement.choose(query, ready, now_s)
 
     def test_an_upstream_without_tokens_is_not_chosen(self) -> None:
@@ -181,13 +181,15 @@
 
     def test_hedged_requests_take_no_tokens(self) -> None:
         placement = self._placement({"u": 50.0, "v": 50.0})
-        query = PlacementQuery("s", left_s=3.0, worth_s=3.0, repeatable=True, spare_only=True)
+        query = PlacementQuery(
+            "s", remaining_s=3.0, objective_remaining_s=3.0, is_retryable=True, spare_only=True
+        )
         self.assertIsInstance(placement.choose(query, [_UPSTREAM], 5.0), Refusal)
 
     def test_a_trial_needs_a_token(self) -> None:
         placement = self._placement({"u": 0.1})
         failed = Observation("u", Outcome.FAILED, 0.001)
-        placement.suspicion.observe(failed, "b", 0.3, 0.0)
+        placement.suspicion.record_outcome(failed, "b", 0.3, 0.0)
         choice = self._choose(placement, 9.0)
         assert isinstance(choice, Choice)
         self.assertEqual("v", choice.upstream.name)
--- a/src/egretrail/dispatch/tests/test_placement.py
+++ b/src/egretrail/dispatch/tests/test_placement.py
@@ -5,7 +5,6 @@
 
 from egretrail.dispatch import (
     FIRST_PAUSE_S,
-    AnswerSizes,
     Choice,
     FleetLoad,
     Observation,
@@ -14,10 +13,11 @@
     PlacementQuery,
     Refusal,
     RefusalReason,
+    ResponseSizes,
     ServiceDurations,
-    Standing,
-    SuspicionBook,
-    TrialPace,
+    SuspicionTable,
+    TrialScheduler,
+    UpstreamHealth,
 )
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
@@ -30,23 +30,23 @@
 
 
 def _placement(zone: str = "a", seed: int = 1) -> Placement:
-    load, suspicion = FleetLoad(), SuspicionBook("me")
-    trials = TrialPace(load, suspicion)
+    load, suspicion = FleetLoad(), SuspicionTable("me")
+    trials = TrialScheduler(load, suspicion)
     return Placement(zone, load, ServiceDurations(), suspicion, trials, rng=random.Random(seed))
 
 
 def _query(**changes: object) -> PlacementQuery:
     fields: dict[str, object] = {
         "service": _SERVICE,
-        "left_s": 5.0,
-        "worth_s": 5.0,
-        "repeatable": False,
+        "remaining_s": 5.0,
+        "objective_remaining_s": 5.0,
+        "is_retryable": False,
     }
     return PlacementQuery(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 def _fail(placement: Placement, name: str, now_s: float) -> None:
-    placement.suspicion.observe(Observation(name, Outcome.FAILED, 0.003), "b", 0.3, now_s)
+    placement.suspicion.record_outcome(Observation(name, Outcome.FAILED, 0.003), "b", 0.3, now_s)
 
 
 class PreferenceTest(EgretrailTestCase):
@@ -61,17 +61,17 @@
                 "near-2",
             ),
             "small responses in another zone's free slot": (
-                {"answer_bytes": 1_500.0},
+                {"response_bytes": 1_500.0},
                 {"far": 0, "near": 4},
                 "far",
             ),
             "large responses in the own zone's queue": (
-                {"answer_bytes": 90_000.0},
+                {"response_bytes": 90_000.0},
                 {"far": 0, "near": 6},
                 "near",
             ),
             "large responses in another zone if the own queue is too long": (
-                {"answer_bytes": 90_000.0, "worth_s": 0.6},
+                {"response_bytes": 90_000.0, "objective_remaining_s": 0.6},
                 {"far": 0, "near": 6},
                 "far",
             ),
@@ -81,7 +81,7 @@
     def test_preference(self, case: tuple[dict[str, object], dict[str, int], str]) -> None:
         changes, loads, expected = case
         placement = _placement()
-        placement.load.told("other", loads, 0.0)
+        placement.load.replace_peer_counts("other", loads, 0.0)
         ready = [_upstream(name, "b" if name == "far" else "a") for name in loads]
         choice = placement.choose(_query(**changes), ready, 0.0)
         assert isinstance(choice, Choice)
@@ -90,17 +90,19 @@
     def test_upstreams_that_shed_are_used_if_all_do(self) -> None:
         placement = _placement()
         for name in ("x", "y"):
-            placement.suspicion.observe(Observation(name, Outcome.SHED, 0.002), "b", 0.3, 1.0)
+            placement.suspicion.record_outcome(
+                Observation(name, Outcome.SHED, 0.002), "b", 0.3, 1.0
+            )
         choice = placement.choose(_query(), [_upstream("x"), _upstream("y")], 1.1)
         self.assertIsInstance(choice, Choice)
 
     def test_a_slow_upstream_is_used_after_the_others(self) -> None:
         placement = _placement()
         for _ in range(10):
-            placement.durations.observe(_SERVICE, "slow", 1.5)
-            placement.durations.observe(_SERVICE, "normal", 0.3)
+            placement.durations.record(_SERVICE, "slow", 1.5)
+            placement.durations.record(_SERVICE, "normal", 0.3)
         ready = [_upstream("slow"), _upstream("normal")]
-        placement.load.told("other", {"normal": 2}, 0.0)
+        placement.load.replace_peer_counts("other", {"normal": 2}, 0.0)
         choice = placement.choose(_query(), ready, 0.0)
         assert isinstance(choice, Choice)
         self.assertEqual("normal", choice.upstream.id)
@@ -108,20 +110,20 @@
 
 class ResponseSizesTest(EgretrailTestCase):
     def test_the_mean_follows_the_responses_of_the_route(self) -> None:
-        sizes = AnswerSizes()
+        sizes = ResponseSizes()
         self.assertEqual(0.0, sizes.mean_bytes("files"))
         for _ in range(60):
-            sizes.observe("files", 90_000)
-            sizes.observe("orders", 5_000)
+            sizes.record("files", 90_000)
+            sizes.record("orders", 5_000)
         self.assertAlmostEqual(90_000, sizes.mean_bytes("files"), delta=100)
         for _ in range(60):
-            sizes.observe("files", 1_000)
+            sizes.record("files", 1_000)
         self.assertAlmostEqual(1_000, sizes.mean_bytes("files"), delta=300)
 
     def test_the_number_of_routes_is_bounded(self) -> None:
-        sizes = AnswerSizes()
+        sizes = ResponseSizes()
         for number in range(6_000):
-            sizes.observe(f"r{number}", 10)
+            sizes.record(f"r{number}", 10)
         self.assertEqual((0.0, 10.0), (sizes.mean_bytes("r0"), sizes.mean_bytes("r5999")))
 
 
@@ -146,15 +148,17 @@
             now_s += rng.expovariate(55.0)
             while ends and ends[0][0] <= now_s:
                 at_s, name, answered = heapq.heappop(ends)
-                placement.load.finished(name)
+                placement.load.record_finish(name)
                 if answered:
-                    placement.load.answered(name, at_s)
-                    placement.durations.observe(_SERVICE, name, 0.2)
-            choice = placement.choose(_query(worth_s=0.6, left_s=1.2), ready, now_s)
+                    placement.load.record_response(name, at_s)
+                    placement.durations.record(_SERVICE, name, 0.2)
+            choice = placement.choose(
+                _query(objective_remaining_s=0.6, remaining_s=1.2), ready, now_s
+            )
             if not isinstance(choice, Choice):
                 continue
             name = choice.upstream.id
-            placement.load.started(name, now_s)
+            placement.load.record_start(name, now_s)
             work_s = rng.lognormvariate(-1.8, 0.7)
             is_lost = name in self._FAILED and now_s + work_s >= self._FROM_S
             heapq.heappush(ends, (now_s + (1.0 if is_lost else work_s), name, not is_lost))
@@ -166,7 +170,7 @@
     def test_a_suspect_gets_no_request_during_its_pause_and_one_after(self) -> None:
         placement = _placement()
         ready = [_upstream("bad"), _upstream("good", slots=10)]
-        placement.load.told("other", {"good": 8}, 0.0)
+        placement.load.replace_peer_counts("other", {"good": 8}, 0.0)
         _fail(placement, "bad", 0.0)
         chosen = []
         for tenth in range(70):
@@ -174,8 +178,8 @@
             choice = placement.choose(_query(), ready, now_s)
             assert isinstance(choice, Choice)
             chosen.append(choice.upstream.id)
-            if choice.trial:
-                placement.load.started("bad", now_s)
+            if choice.is_trial:
+                placement.load.record_start("bad", now_s)
         self.assertEqual(1, chosen.count("bad"))
         self.assertGreaterEqual(chosen.index("bad"), FIRST_PAUSE_S * 10 - 1)
 
@@ -186,21 +190,21 @@
         placement = _placement()
         placement.trials.rank = lambda record: rank
         ready = [_upstream("bad"), _upstream("good", slots=10)]
-        placement.load.told("other", {"good": 8}, 0.0)
+        placement.load.replace_peer_counts("other", {"good": 8}, 0.0)
         _fail(placement, "bad", 0.0)
         before = placement.choose(_query(), ready, from_s - 0.1)
         after = placement.choose(_query(), ready, from_s)
         assert isinstance(before, Choice)
         assert isinstance(after, Choice)
-        self.assertEqual((False, True), (before.trial, after.trial))
+        self.assertEqual((False, True), (before.is_trial, after.is_trial))
 
     def test_a_retryable_request_is_a_trial_sooner(self) -> None:
         placement = _placement()
         ready = [_upstream("bad"), _upstream("good")]
         _fail(placement, "bad", 0.0)
-        choice = placement.choose(_query(repeatable=True), ready, FIRST_PAUSE_S * 0.65)
+        choice = placement.choose(_query(is_retryable=True), ready, FIRST_PAUSE_S * 0.65)
         assert isinstance(choice, Choice)
-        self.assertTrue(choice.trial)
+        self.assertTrue(choice.is_trial)
 
 
 class RefusalTest(EgretrailTestCase):
@@ -216,10 +220,10 @@
     ) -> None:
         names, loads, left_s, reason = case
         placement = _placement()
-        placement.load.told("other", loads, 0.0)
+        placement.load.replace_peer_counts("other", loads, 0.0)
         _fail(placement, "x", 0.0)
         ready = [_upstream(name) for name in names]
-        refusal = placement.choose(_query(left_s=left_s), ready, 0.1)
+        refusal = placement.choose(_query(remaining_s=left_s), ready, 0.1)
         assert isinstance(refusal, Refusal)
         self.assertIs(reason or RefusalReason.NO_TIME, refusal.reason)
         self.assertGreater(refusal.retry_after_s, 0.0)
@@ -229,7 +233,7 @@
 class ShortTimeTest(EgretrailTestCase):
     def test_a_request_with_little_time_gets_a_free_slot(self) -> None:
         placement = _placement()
-        choice = placement.choose(_query(left_s=0.05), [_upstream("x")], 0.0)
+        choice = placement.choose(_query(remaining_s=0.05), [_upstream("x")], 0.0)
         self.assertIsInstance(choice, Choice)
 
 
@@ -240,7 +244,7 @@
         placement = _placement()
         for name in ("x", "y"):
             seen = Observation(name, Outcome.UNREACHABLE, 0.35)
-            placement.suspicion.observe(seen, "me", 0.3, 1.0)
+            placement.suspicion.record_outcome(seen, "me", 0.3, 1.0)
         choice = placement.choose(_query(), [_upstream("x"), _upstream("y")], 1.1)
         self.assertIsInstance(choice, Choice)
 
@@ -260,10 +264,10 @@
             lost = who < 6 and rng.random() < 0.5
             outcome = Outcome.UNREACHABLE if lost else Outcome.SUCCESS
             seen = Observation(choice.upstream.id, outcome, 0.35)
-            placement.suspicion.observe(seen, f"i{who}", 0.3, now_s)
-        healths = [placement.suspicion.standing(one.id, 40.0) for one in upstreams]
+            placement.suspicion.record_outcome(seen, f"i{who}", 0.3, now_s)
+        healths = [placement.suspicion.health(one.id, 40.0) for one in upstreams]
         self.assertEqual(0, refused)
-        self.assertGreaterEqual(healths.count(Standing.GOOD), 8)
+        self.assertGreaterEqual(healths.count(UpstreamHealth.GOOD), 8)
 
 
 class HedgedRequestTest(EgretrailTestCase):
@@ -273,7 +277,7 @@
     ) -> None:
         loads, is_chosen = case
         placement = _placement()
-        placement.load.told("other", loads, 0.0)
+        placement.load.replace_peer_counts("other", loads, 0.0)
         choice = placement.choose(_query(spare_only=True), [_upstream("x")], 0.0)
         self.assertIs(is_chosen, isinstance(choice, Choice))
 
@@ -282,11 +286,11 @@
     def test_slow_upstreams_cause_no_refusals_at_healthy_ones(self) -> None:
         placement = _placement()
         for _ in range(100):
-            placement.durations.observe(_SERVICE, "slow", 4.0)
-            placement.durations.observe(_SERVICE, "healthy", 0.3)
-        placement.load.told("other", {"healthy": 5, "slow": 4}, 0.0)
+            placement.durations.record(_SERVICE, "slow", 4.0)
+            placement.durations.record(_SERVICE, "healthy", 0.3)
+        placement.load.replace_peer_counts("other", {"healthy": 5, "slow": 4}, 0.0)
         ready = [_upstream("slow"), _upstream("healthy")]
-        choice = placement.choose(_query(left_s=0.8), ready, 0.0)
+        choice = placement.choose(_query(remaining_s=0.8), ready, 0.0)
         assert isinstance(choice, Choice)
         self.assertEqual("healthy", choice.upstream.id)
 
@@ -325,7 +329,7 @@
                 failed += 1
                 continue
             name = choice.upstream.id
-            placement.load.started(name, now_s)
+            placement.load.record_start(name, now_s)
             in_failure_period = (int(name[1:]) + int(now_s / 9)) % 3 == 0
             good = not (in_failure_period and self._rng.random() < 0.9)
             duration_s = self._rng.uniform(0.2, 0.5) if good else 0.003
@@ -334,9 +338,9 @@
 
     def _end(self, at_s: float, who: int, name: str, good: bool, duration_s: float) -> None:
         placement = self._instances[who]
-        placement.load.finished(name)
+        placement.load.record_finish(name)
         outcome = Outcome.SUCCESS if good else Outcome.FAILED
-        placement.suspicion.observe(Observation(name, outcome, duration_s), "x", 0.3, at_s)
+        placement.suspicion.record_outcome(Observation(name, outcome, duration_s), "x", 0.3, at_s)
 
 
 class GrayFailureTest(EgretrailTestCase):
@@ -377,7 +381,7 @@
 
     def _send_request(self, now_s: float) -> bool:
         placement = self._placement
-        query = _query(left_s=3.0, worth_s=1.2)
+        query = _query(remaining_s=3.0, objective_remaining_s=1.2)
         choice = placement.choose(query, self._upstreams, now_s)
         if isinstance(choice, Refusal):
             return False
@@ -387,7 +391,7 @@
         slot = free.index(min(free))
         end_s = max(now_s, free[slot]) + work_s
         free[slot] = end_s
-        placement.load.started(name, now_s)
+        placement.load.record_start(name, now_s)
         waiting = max(choice.in_flight + 1 - 4, 0) / 4
         typical_s = placement.durations.mean_s(_SERVICE) * (1.0 + waiting)
         overdue_s = now_s + max(4.0 * typical_s, 0.8)
@@ -406,14 +410,14 @@
             at_s, number, name, outcome, started_s = heapq.heappop(self._events)
             seen = Observation(name, outcome, at_s - started_s)
             typical_s = placement.durations.mean_s(_SERVICE)
-            placement.suspicion.observe(seen, f"i{number % 30}", typical_s, at_s)
-            placement.load.answered(name, at_s)
+            placement.suspicion.record_outcome(seen, f"i{number % 30}", typical_s, at_s)
+            placement.load.record_response(name, at_s)
             if outcome is Outcome.SUCCESS:
                 in_flight = placement.load.in_flight(name, at_s)
                 waiting = max(in_flight - 4, 0) / 4
                 work_s = seen.duration_s / (1.0 + waiting)
-                placement.durations.observe(_SERVICE, name, work_s)
-                placement.load.finished(name)
+                placement.durations.record(_SERVICE, name, work_s)
+                placement.load.record_finish(name)
 
 
 class OverloadTest(EgretrailTestCase):
@@ -438,18 +442,18 @@
         while now_s < 60.0:
             now_s += rng.expovariate(150.0)
             while ends and ends[0][0] <= now_s:
-                placement.load.finished(heapq.heappop(ends)[1])
+                placement.load.record_finish(heapq.heappop(ends)[1])
             is_other = rng.random() < 0.6
             query = _query(
-                left_s=2.0,
-                worth_s=1.0 if is_other else 0.65,
+                remaining_s=2.0,
+                objective_remaining_s=1.0 if is_other else 0.65,
                 urgent_objective_s=0.65 if is_other and knows_urgent else None,
             )
             received[is_other] += 1
             choice = placement.choose(query, ready, now_s)
             if isinstance(choice, Choice):
                 accepted[is_other] += 1
-                placement.load.started(choice.upstream.id, now_s)
+                placement.load.record_start(choice.upstream.id, now_s)
                 queued = placement.load.in_flight(choice.upstream.id, now_s) - 3
                 end_s = now_s + rng.expovariate(1 / 0.3) + max(queued, 0) * 0.1
                 heapq.heappush(ends, (end_s, choice.upstream.id))
@@ -466,5 +470,5 @@
 
     def test_a_free_slot_is_used_at_any_priority(self) -> None:
         placement = _placement()
-        query = _query(worth_s=1.0, urgent_objective_s=0.1)
+        query = _query(objective_remaining_s=1.0, urgent_objective_s=0.1)
         self.assertIsInstance(placement.choose(query, [_upstream("u")], 0.0), Choice)
--- a/src/egretrail/dispatch/tests/test_retry_budget.py
+++ b/src/egretrail/dispatch/tests/test_retry_budget.py
@@ -6,8 +6,8 @@
 from egretrail.dispatch import (
     CrashingRequests,
     FleetLoad,
-    RepeatBudget,
-    RepeatCounts,
+    FleetRetryBudget,
+    RetryCounts,
     request_digest,
 )
 from egretrail.testing import EgretrailTestCase, cases
@@ -16,12 +16,12 @@
 _RATIO, _WINDOW_S, _SLACK = 0.2, 10.0, 60.0
 
 
-def _exchange_counts(fleet: Mapping[int, RepeatBudget], now_s: float) -> None:
+def _exchange_counts(fleet: Mapping[int, FleetRetryBudget], now_s: float) -> None:
     for origin, budget in fleet.items():
-        counts = budget.own_counts().get(_SERVICE, RepeatCounts())
+        counts = budget.own_counts().get(_SERVICE, RetryCounts())
         for other in fleet.values():
             if other is not budget:
-                other.told(str(origin), _SERVICE, counts, now_s)
+                other.apply_peer_counts(str(origin), _SERVICE, counts, now_s)
 
 
 class FleetBudgetTest(EgretrailTestCase):
@@ -38,18 +38,18 @@
         delay_s, known_share = case
         count = 20
         rng = random.Random(3)
-        fleet = [RepeatBudget(_RATIO, _WINDOW_S, _SLACK) for _ in range(count)]
+        fleet = [FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK) for _ in range(count)]
         requests: list[float] = []
         retries: list[float] = []
         exchanged_s = 0.0
         for step in range(8000):
             now_s = step / 200
             who = fleet[rng.randrange(count)]
-            who.routed(_SERVICE, now_s)
+            who.record_request(_SERVICE, now_s)
             requests.append(now_s)
             # Every request fails, and each instance retries whatever the budget permits.
             if who.permits(_SERVICE, now_s, known_share):
-                who.repeated(_SERVICE, now_s)
+                who.record_retry(_SERVICE, now_s)
                 retries.append(now_s)
             if now_s - exchanged_s >= delay_s:
                 exchanged_s = now_s
@@ -57,7 +57,7 @@
                     counts = origin.own_counts()[_SERVICE] if origin.own_counts() else None
                     for other in fleet:
                         if other is not origin and counts is not None:
-                            other.told(str(number), _SERVICE, counts, now_s)
+                            other.apply_peer_counts(str(number), _SERVICE, counts, now_s)
         for begin in range(30):
             window = [t for t in retries if begin <= t < begin + _WINDOW_S]
             sent = [t for t in requests if begin <= t < begin + _WINDOW_S]
@@ -67,18 +67,18 @@
     def test_a_rolling_restart_does_not_exceed_the_budget(self) -> None:
         """Restarted instances know of no earlier retries and must not use the allowance again."""
         slack, rng = 190.0, random.Random(3)
-        fleet = {number: RepeatBudget(_RATIO, _WINDOW_S, slack) for number in range(40)}
+        fleet = {number: FleetRetryBudget(_RATIO, _WINDOW_S, slack) for number in range(40)}
         requests: list[float] = []
         retries: list[float] = []
         exchanged_s, started_s = 0.0, 12.0
         for step in range(600 * 24):
             now_s = step / 600
             name = rng.choice(list(fleet))
-            fleet[name].routed(_SERVICE, now_s)
+            fleet[name].record_request(_SERVICE, now_s)
             requests.append(now_s)
             for _ in range(2):
                 if fleet[name].permits(_SERVICE, now_s, 1.0, 1 / 40):
-                    fleet[name].repeated(_SERVICE, now_s)
+                    fleet[name].record_retry(_SERVICE, now_s)
                     retries.append(now_s)
             if now_s - exchanged_s >= 0.25:
                 exchanged_s = now_s
@@ -86,7 +86,7 @@
             if now_s - started_s >= 0.08:
                 started_s = now_s
                 del fleet[min(fleet)]
-                newcomer = RepeatBudget(_RATIO, _WINDOW_S, slack, started_s=now_s)
+                newcomer = FleetRetryBudget(_RATIO, _WINDOW_S, slack, started_s=now_s)
                 fleet[max(fleet) + 1] = newcomer
         for begin in range(15):
             window = [t for t in retries if begin <= t < begin + _WINDOW_S]
@@ -94,23 +94,23 @@
             self.assertLessEqual(len(window), _RATIO * len(sent) + slack)
 
     def test_a_new_instance_has_its_share_of_the_constant_allowance(self) -> None:
-        budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK, started_s=0.0)
+        budget = FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK, started_s=0.0)
         used = 0
         while budget.permits(_SERVICE, 1.0, 1.0, 1 / 3):
-            budget.repeated(_SERVICE, 1.0)
+            budget.record_retry(_SERVICE, 1.0)
             used += 1
         self.assertEqual(int(0.5 * _SLACK / 3), used)
 
     def test_usage_by_service(self) -> None:
-        budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
+        budget = FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK)
         for _ in range(100):
-            budget.routed(_SERVICE, 1.0)
-        budget.repeated(_SERVICE, 1.0)
-        [(service, use)] = budget.uses(2.0, 0.5).items()
-        self.assertEqual((_SERVICE, 1), (service, use.repeats))
+            budget.record_request(_SERVICE, 1.0)
+        budget.record_retry(_SERVICE, 1.0)
+        [(service, use)] = budget.usage(2.0, 0.5).items()
+        self.assertEqual((_SERVICE, 1), (service, use.retries))
         # Three quarters of: a fifth of the requests, and half of the slack.
         self.assertAlmostEqual(0.75 * (20 + 30), use.allowed)
-        self.assertEqual(0, budget.uses(13.0, 0.5)[_SERVICE].repeats)
+        self.assertEqual(0, budget.usage(13.0, 0.5)[_SERVICE].retries)
 
     @cases(
         {
@@ -124,7 +124,7 @@
         self, case: tuple[float, float, float]
     ) -> None:
         ratio, window_s, slack = case
-        budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
+        budget = FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK)
         changed_s, end_s = 40.0, 120.0
         requests: list[float] = []
         retries: list[float] = []
@@ -133,10 +133,10 @@
             if now_s == changed_s:
                 budget.set_bounds(ratio, window_s, slack, now_s)
             if step % 4 == 0:
-                budget.routed(_SERVICE, now_s)
+                budget.record_request(_SERVICE, now_s)
                 requests.append(now_s)
             while budget.permits(_SERVICE, now_s, 1.0):
-                budget.repeated(_SERVICE, now_s)
+                budget.record_retry(_SERVICE, now_s)
                 retries.append(now_s)
         # Retries that the previous budget allowed stay counted: a window that ends soon after the
         # change holds the larger of both.
@@ -150,11 +150,11 @@
         self.assertGreater(len([t for t in retries if t > changed_s + window_s]), 0)
 
     def test_the_first_counts_of_a_peer_are_ignored(self) -> None:
-        budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
-        other = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
+        budget = FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK)
+        other = FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK)
         for _ in range(500):
-            other.repeated(_SERVICE, 0.0)
-        budget.told("b~1", _SERVICE, other.own_counts()[_SERVICE], 100.0)
+            other.record_retry(_SERVICE, 0.0)
+        budget.apply_peer_counts("b~1", _SERVICE, other.own_counts()[_SERVICE], 100.0)
         self.assertTrue(budget.permits(_SERVICE, 100.0, 1.0))
 
 
@@ -166,16 +166,16 @@
     @cases({"seed 1": 1, "seed 2": 2, "seed 3": 3})
     def test_the_budget_lasts_through_the_period(self, seed: int) -> None:
         rng = random.Random(seed)
-        budget = RepeatBudget(_RATIO, _WINDOW_S, _SLACK)
+        budget = FleetRetryBudget(_RATIO, _WINDOW_S, _SLACK)
         served = [0] * int(self._PERIOD_S)
         for step in range(-int(_WINDOW_S) * self._RATE, int(self._PERIOD_S) * self._RATE):
             now_s = _WINDOW_S + step / self._RATE
-            budget.routed(_SERVICE, now_s)
+            budget.record_request(_SERVICE, now_s)
             if step < 0:
                 continue
             answered = rng.random() >= self._SHED_SHARE
             if not answered and budget.permits(_SERVICE, now_s, 1.0):
-                budget.repeated(_SERVICE, now_s)
+                budget.record_retry(_SERVICE, now_s)
                 answered = rng.random() >= self._SHED_SHARE
             served[step // self._RATE] += answered
         shares = [count / self._RATE for count in served]
@@ -203,13 +203,13 @@
     ) -> None:
         peer_counts, gone, now_s, expected = case
         load = FleetLoad()
-        load.started("u", 0.0)
+        load.record_start("u", 0.0)
         for origin, counts in peer_counts:
-            load.told(origin, counts, 0.0)
+            load.replace_peer_counts(origin, counts, 0.0)
         for origin in gone:
-            load.forget(origin)
+            load.remove_peer(origin)
         if now_s:
-            load.report("u", 7, 0.0)
+            load.record_reported_load("u", 7, 0.0)
         self.assertEqual(expected, load.in_flight("u", now_s))
 
 
@@ -229,15 +229,15 @@
         events, expected_s = case
         load = FleetLoad()
         acts = {
-            "start": lambda at_s: load.started("u", at_s),
-            "end": lambda at_s: load.finished("u"),
-            "response": lambda at_s: load.answered("u", at_s),
-            "peer": lambda at_s: load.told("b", {"u": 1}, at_s),
-            "peer more": lambda at_s: load.told("b", {"u": 2}, at_s),
+            "start": lambda at_s: load.record_start("u", at_s),
+            "end": lambda at_s: load.record_finish("u"),
+            "response": lambda at_s: load.record_response("u", at_s),
+            "peer": lambda at_s: load.replace_peer_counts("b", {"u": 1}, at_s),
+            "peer more": lambda at_s: load.replace_peer_counts("b", {"u": 2}, at_s),
         }
         for name, at_s in events:
             acts[name](at_s)
-        self.assertAlmostEqual(expected_s, load.quiet_for_s("u", 5.0))
+        self.assertAlmostEqual(expected_s, load.unresponsive_for_s("u", 5.0))
 
 
 class CrashingRequestsTest(EgretrailTestCase):
@@ -255,10 +255,10 @@
         digest = request_digest([b"GET", b"shop", b"/read/1", b""])
         crashing = CrashingRequests()
         for name in lost:
-            crashing.lost(digest, name, 0.0)
+            crashing.record_loss(digest, name, 0.0)
         if answered:
-            crashing.answered(digest)
-        self.assertIs(expected, crashing.refuses(digest, now_s))
+            crashing.clear(digest)
+        self.assertIs(expected, crashing.is_blocked(digest, now_s))
 
     def test_digests_depend_on_where_a_part_ends(self) -> None:
         self.assertNotEqual(request_digest([b"ab", b"c"]), request_digest([b"a", b"bc"]))
--- a/src/egretrail/dispatch/tests/test_slot_shares.py
+++ b/src/egretrail/dispatch/tests/test_slot_shares.py
@@ -13,8 +13,8 @@
     Refusal,
     ServiceDurations,
     SlotShares,
-    SuspicionBook,
-    TrialPace,
+    SuspicionTable,
+    TrialScheduler,
 )
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
@@ -35,17 +35,17 @@
 
 
 def _placement(number: int, seed: int, *, shared: bool) -> Placement:
-    load, suspicion = FleetLoad(), SuspicionBook(str(number))
+    load, suspicion = FleetLoad(), SuspicionTable(str(number))
     placement = Placement(
         "z",
         load,
         ServiceDurations(),
         suspicion,
-        TrialPace(load, suspicion),
+        TrialScheduler(load, suspicion),
         rng=random.Random(seed * 1_000 + number),
     )
     if shared:
-        placement.owns = SlotShares(lambda task: _rank(number, task)).owns
+        placement.has_slot_share = SlotShares(lambda task: _rank(number, task)).has_share
     return placement
 
 
@@ -85,7 +85,7 @@
         if isinstance(choice, Refusal):
             return
         upstream_id = choice.upstream.id
-        placement.load.started(upstream_id, now_s)
+        placement.load.record_start(upstream_id, now_s)
         self._own[instance][upstream_id] = self._own[instance].get(upstream_id, 0) + 1
         self._waiting[upstream_id].append((instance, now_s))
         self._run(upstream_id, now_s)
@@ -101,7 +101,7 @@
     def _end(self, upstream_id: str, instance: int, arrived_s: float, now_s: float) -> None:
         self._running[upstream_id] -= 1
         self._own[instance][upstream_id] -= 1
-        self._placements[instance].load.finished(upstream_id)
+        self._placements[instance].load.record_finish(upstream_id)
         self._durations_s.append(now_s - arrived_s)
         self._run(upstream_id, now_s)
 
@@ -115,7 +115,7 @@
         for placement, counts in zip(self._placements, own, strict=True):
             others = {key: total - counts.get(key, 0) for key, total in totals.items()}
             peer_counts = {key: count for key, count in others.items() if count}
-            placement.load.told("others", peer_counts, now_s)
+            placement.load.replace_peer_counts("others", peer_counts, now_s)
 
 
 class SlotSharesTest(EgretrailTestCase):
@@ -131,20 +131,20 @@
             owners = [
                 number
                 for number in range(_INSTANCES)
-                if SlotShares(lambda task, n=number: _rank(n, task)).owns(record)  # type: ignore
+                if SlotShares(lambda task, n=number: _rank(n, task)).has_share(record)  # type: ignore
             ]
             self.assertEqual(_SLOTS, len(owners))
 
     def test_no_more_instances_than_slots_have_a_share_of_every_upstream(self) -> None:
         for rank in range(_SLOTS):
             shares = SlotShares(lambda task, r=rank: r)  # type: ignore
-            self.assertTrue(all(shares.owns(record) for record in _RECORDS))
+            self.assertTrue(all(shares.has_share(record) for record in _RECORDS))
 
     def test_shares_are_recomputed_after_a_change(self) -> None:
         ranks = [0]
         shares = SlotShares(lambda task: ranks[0])
-        self.assertTrue(shares.owns(_RECORDS[0]))
+        self.assertTrue(shares.has_share(_RECORDS[0]))
         ranks[0] = 9
-        self.assertTrue(shares.owns(_RECORDS[0]))
-        shares.changed()
-        self.assertFalse(shares.owns(_RECORDS[0]))
+        self.assertTrue(shares.has_share(_RECORDS[0]))
+        shares.invalidate()
+        self.assertFalse(shares.has_share(_RECORDS[0]))
--- a/src/egretrail/dispatch/tests/test_suspicion.py
+++ b/src/egretrail/dispatch/tests/test_suspicion.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from egretrail.dispatch import FIRST_PAUSE_S, Observation, Outcome, Standing, SuspicionBook
+from egretrail.dispatch import FIRST_PAUSE_S, Observation, Outcome, SuspicionTable, UpstreamHealth
 from egretrail.testing import EgretrailTestCase, cases
 
 _UPSTREAM_ID = "up-1"
@@ -12,10 +12,10 @@
 Event = tuple[float, str, Outcome, float]
 
 
-def _suspicions_after(events: Sequence[Event]) -> SuspicionBook:
-    suspicions = SuspicionBook("me")
+def _suspicions_after(events: Sequence[Event]) -> SuspicionTable:
+    suspicions = SuspicionTable("me")
     for at_s, observer, outcome, duration_s in events:
-        suspicions.observe(
+        suspicions.record_outcome(
             Observation(_UPSTREAM_ID, outcome, duration_s), observer, _TYPICAL_S, at_s
         )
     return suspicions
@@ -24,26 +24,26 @@
 class UpstreamHealthTest(EgretrailTestCase):
     @cases(
         {
-            "no observation": ([], 1.0, Standing.GOOD),
+            "no observation": ([], 1.0, UpstreamHealth.GOOD),
             "a quick failure of another instance": (
                 [(1.0, "a", Outcome.FAILED, 0.003)],
                 1.0,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "a failure that took as long as a normal request": (
                 [(1.0, "a", Outcome.FAILED, 0.3)],
                 1.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "two full-length failures": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (2.0, "a", Outcome.FAILED, 0.3)],
                 2.0,
-                Standing.DOUBTED,
+                UpstreamHealth.WEAKLY_SUSPECT,
             ),
             "two full-length failures, later": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (2.0, "a", Outcome.FAILED, 0.3)],
                 5.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "two full-length failures, then a quick one": (
                 [
@@ -52,53 +52,53 @@
                     (2.1, "b", Outcome.FAILED, 0.003),
                 ],
                 2.1,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "overdue requests of many instances": (
                 [(1.0 + n / 10, f"i{n}", Outcome.OVERDUE, 1.5) for n in range(9)],
                 2.0,
-                Standing.DOUBTED,
+                UpstreamHealth.WEAKLY_SUSPECT,
             ),
             "an overdue request of this instance": (
                 [(1.0, "me", Outcome.OVERDUE, 1.5)],
                 1.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "two full-length failures, far apart": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (9.0, "a", Outcome.FAILED, 0.3)],
                 9.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
-            "a quick reset": ([(1.0, "a", Outcome.BROKEN, 0.01)], 1.0, Standing.GOOD),
+            "a quick reset": ([(1.0, "a", Outcome.BROKEN, 0.01)], 1.0, UpstreamHealth.GOOD),
             "two quick resets": (
                 [(1.0, "a", Outcome.BROKEN, 0.01), (1.2, "a", Outcome.BROKEN, 0.01)],
                 1.2,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "a quick reset after a full-length failure": (
                 [(1.0, "a", Outcome.FAILED, 0.3), (1.2, "b", Outcome.BROKEN, 0.01)],
                 1.2,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "two quick resets far apart": (
                 [(1.0, "a", Outcome.BROKEN, 0.01), (6.2, "a", Outcome.BROKEN, 0.01)],
                 6.2,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "unreachable from another instance": (
                 [(1.0, "a", Outcome.UNREACHABLE, 0.35), (2.0, "a", Outcome.SILENT, 1.5)],
                 2.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "unreachable from this instance": (
                 [(1.0, "me", Outcome.UNREACHABLE, 0.35)],
                 2.0,
-                Standing.UNREACHED,
+                UpstreamHealth.UNREACHABLE_FROM_HERE,
             ),
             "unreachable from this instance again, two seconds later": (
                 [(1.0, "me", Outcome.UNREACHABLE, 0.35), (3.0, "me", Outcome.UNREACHABLE, 0.35)],
                 5.5,
-                Standing.UNREACHED,
+                UpstreamHealth.UNREACHABLE_FROM_HERE,
             ),
             "unreachable from this instance again, after a response": (
                 [
@@ -107,7 +107,7 @@
                     (3.0, "me", Outcome.UNREACHABLE, 0.35),
                 ],
                 5.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "unreachable from two instances, reached by a third in between": (
                 [
@@ -116,7 +116,7 @@
                     (1.5, "b", Outcome.UNREACHABLE, 0.35),
                 ],
                 1.5,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "unreachable from one instance while on probation": (
                 [
@@ -125,42 +125,42 @@
                     (6.5, "c", Outcome.UNREACHABLE, 0.35),
                 ],
                 6.5,
-                Standing.PROBATION,
+                UpstreamHealth.PROBATION,
             ),
             "unreachable from this instance, later": (
                 [(1.0, "me", Outcome.UNREACHABLE, 0.35)],
                 3.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "unreachable from two instances": (
                 [(1.0, "a", Outcome.UNREACHABLE, 0.35), (1.5, "b", Outcome.SILENT, 1.5)],
                 2.0,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "shed requests": (
                 [(1.0 + n / 10, "a", Outcome.SHED, 0.002) for n in range(9)],
                 2.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "requests whose deadline passed": (
                 [(1.0 + n / 10, "a", Outcome.EXPIRED, 0.4) for n in range(9)],
                 2.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "a success of a request sent before the suspicion": (
                 [(1.0, "a", Outcome.FAILED, 0.003), (1.3, "b", Outcome.SUCCESS, 0.4)],
                 1.3,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "such a success, reported late from another zone": (
                 [(1.0, "a", Outcome.FAILED, 0.003), (1.5, "b", Outcome.SUCCESS, 0.4)],
                 1.5,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
             "one success after the suspicion began": (
                 [(1.0, "a", Outcome.FAILED, 0.003), (5.5, "b", Outcome.SUCCESS, 0.4)],
                 5.5,
-                Standing.PROBATION,
+                UpstreamHealth.PROBATION,
             ),
             "two successes after the suspicion began": (
                 [
@@ -169,7 +169,7 @@
                     (6.0, "b", Outcome.SUCCESS, 0.4),
                 ],
                 6.0,
-                Standing.GOOD,
+                UpstreamHealth.GOOD,
             ),
             "a failure between two successes": (
                 [
@@ -179,13 +179,13 @@
                     (6.5, "b", Outcome.SUCCESS, 0.4),
                 ],
                 6.5,
-                Standing.SUSPECT,
+                UpstreamHealth.SUSPECT,
             ),
         }
     )
-    def test_health(self, case: tuple[Sequence[Event], float, Standing]) -> None:
+    def test_health(self, case: tuple[Sequence[Event], float, UpstreamHealth]) -> None:
         events, now_s, expected = case
-        self.assertIs(expected, _suspicions_after(events).standing(_UPSTREAM_ID, now_s))
+        self.assertIs(expected, _suspicions_after(events).health(_UPSTREAM_ID, now_s))
 
 
 class PauseTest(EgretrailTestCase):
@@ -198,7 +198,7 @@
             while suspicions.overdue_s(_UPSTREAM_ID, now_s) < 0:
                 now_s += 0.1
             pauses.append(round(now_s - begin_s, 1))
-            suspicions.observe(
+            suspicions.record_outcome(
                 Observation(_UPSTREAM_ID, Outcome.FAILED, 0.003), "a", _TYPICAL_S, now_s
             )
         self.assertEqual(sorted(pauses), pauses)
@@ -221,9 +221,9 @@
 class ImportTest(EgretrailTestCase):
     def test_an_instance_that_has_just_started_suspects_what_its_peers_suspect(self) -> None:
         peer = _suspicions_after([(10.0, "a", Outcome.FAILED, 0.003)])
-        fresh = SuspicionBook("fresh")
-        fresh.adopt(peer.records(12.0), 112.0)
-        self.assertIs(Standing.SUSPECT, fresh.standing(_UPSTREAM_ID, 112.0))
+        fresh = SuspicionTable("fresh")
+        fresh.import_records(peer.export_records(12.0), 112.0)
+        self.assertIs(UpstreamHealth.SUSPECT, fresh.health(_UPSTREAM_ID, 112.0))
         self.assertAlmostEqual(
             peer.overdue_s(_UPSTREAM_ID, 12.0), fresh.overdue_s(_UPSTREAM_ID, 112.0)
         )
@@ -231,7 +231,9 @@
     def test_own_suspicions_take_precedence(self) -> None:
         fresh = _suspicions_after([(112.0, "a", Outcome.FAILED, 0.003)])
         before_s = fresh.overdue_s(_UPSTREAM_ID, 112.0)
-        fresh.adopt(_suspicions_after([(1.0, "a", Outcome.FAILED, 0.003)]).records(9.0), 112.0)
+        fresh.import_records(
+            _suspicions_after([(1.0, "a", Outcome.FAILED, 0.003)]).export_records(9.0), 112.0
+        )
         self.assertEqual(before_s, fresh.overdue_s(_UPSTREAM_ID, 112.0))
 
 
--- a/src/egretrail/dispatch/tests/test_trials.py
+++ b/src/egretrail/dispatch/tests/test_trials.py
@@ -13,8 +13,8 @@
     Placement,
     PlacementQuery,
     ServiceDurations,
-    SuspicionBook,
-    TrialPace,
+    SuspicionTable,
+    TrialScheduler,
 )
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
@@ -32,7 +32,9 @@
 
 
 def _query(*, is_retryable: bool = False) -> PlacementQuery:
-    return PlacementQuery(_SERVICE, left_s=5.0, worth_s=1.2, repeatable=is_retryable)
+    return PlacementQuery(
+        _SERVICE, remaining_s=5.0, objective_remaining_s=1.2, is_retryable=is_retryable
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,8 +58,8 @@
         self._retryable_share = retryable_share
         self._rng = random.Random(seed)
         self._rate = load * _UPSTREAMS * _SLOTS / _WORK_S
-        fleet_load, suspicion = FleetLoad(), SuspicionBook("me")
-        self._trials = TrialPace(
+        fleet_load, suspicion = FleetLoad(), SuspicionTable("me")
+        self._trials = TrialScheduler(
             fleet_load, suspicion, request_rate=lambda service, now_s: self._rate
         )
         self._placement = Placement(
@@ -91,7 +93,7 @@
         return ReplayFigures(sent, in_time, failed, self._failure_periods)
 
     def _run(self, name: str, now_s: float) -> tuple[float, bool]:
-        self._placement.load.started(name, now_s)
+        self._placement.load.record_start(name, now_s)
         good = not (self._failing[name] and self._rng.random() < _FAILURE_SHARE)
         end_s = now_s + 0.003
         if good:
@@ -113,12 +115,12 @@
                 self._next_change_s[name] = change_s + self._rng.expovariate(1 / mean_s)
         while self._ends and self._ends[0][0] <= now_s:
             at_s, _, name, outcome, started_s = heapq.heappop(self._ends)
-            placement.load.finished(name)
+            placement.load.record_finish(name)
             seen = Observation(name, outcome, at_s - started_s)
-            placement.suspicion.observe(seen, "other", _WORK_S, at_s)
-            placement.load.answered(name, at_s)
+            placement.suspicion.record_outcome(seen, "other", _WORK_S, at_s)
+            placement.load.record_response(name, at_s)
             if outcome is Outcome.FAILED:
-                self._trials.failed(_SERVICE, at_s)
+                self._trials.record_failure(_SERVICE, at_s)
 
 
 class FailurePeriodTest(EgretrailTestCase):
@@ -148,16 +150,16 @@
     )
     def test_the_pause_before_a_trial(self, case: tuple[int, bool, float, float]) -> None:
         in_flight, is_retryable, failures_per_s, factor = case
-        load, suspicion = FleetLoad(), SuspicionBook("me")
-        trials = TrialPace(load, suspicion, request_rate=lambda service, now_s: 100.0)
-        suspicion.observe(Observation("bad", Outcome.FAILED, 0.003), "other", _WORK_S, 0.0)
-        load.told("other", {"good": in_flight}, 0.0)
+        load, suspicion = FleetLoad(), SuspicionTable("me")
+        trials = TrialScheduler(load, suspicion, request_rate=lambda service, now_s: 100.0)
+        suspicion.record_outcome(Observation("bad", Outcome.FAILED, 0.003), "other", _WORK_S, 0.0)
+        load.replace_peer_counts("other", {"good": in_flight}, 0.0)
         bad, good = [_upstream("bad")], [_upstream("good", slots=10)]
 
         def is_due(now_s: float) -> bool:
             for _ in range(int(failures_per_s * 4)):
-                trials.failed(_SERVICE, now_s)
-            due = trials.due(_SERVICE, bad, good, now_s, is_retryable=is_retryable)
+                trials.record_failure(_SERVICE, now_s)
+            due = trials.find_due(_SERVICE, bad, good, now_s, is_retryable=is_retryable)
             return due is not None
 
         self.assertFalse(is_due(factor * FIRST_PAUSE_S - 0.05))
@@ -174,14 +176,14 @@
         self, case: tuple[int, float, bool]
     ) -> None:
         in_flight, before_s, expected = case
-        load, suspicion = FleetLoad(), SuspicionBook("me")
-        trials = TrialPace(load, suspicion, request_rate=lambda service, now_s: 100.0)
+        load, suspicion = FleetLoad(), SuspicionTable("me")
+        trials = TrialScheduler(load, suspicion, request_rate=lambda service, now_s: 100.0)
         now_s = 3.5 * FIRST_PAUSE_S
         bad, good = [_upstream("bad")], [_upstream("good", slots=10)]
-        trials.due(_SERVICE, [], good, now_s - before_s, is_retryable=True)
-        suspicion.observe(Observation("bad", Outcome.FAILED, 0.003), "other", _WORK_S, 0.0)
-        load.told("other", {"good": in_flight}, 0.0)
-        due = trials.due(_SERVICE, bad, good, now_s, is_retryable=False)
+        trials.find_due(_SERVICE, [], good, now_s - before_s, is_retryable=True)
+        suspicion.record_outcome(Observation("bad", Outcome.FAILED, 0.003), "other", _WORK_S, 0.0)
+        load.replace_peer_counts("other", {"good": in_flight}, 0.0)
+        due = trials.find_due(_SERVICE, bad, good, now_s, is_retryable=False)
         self.assertIs(expected, due is not None)
 
 
--- a/src/egretrail/gateway/_attempts.py
+++ b/src/egretrail/gateway/_attempts.py
@@ -55,7 +55,7 @@
         except ConnectFailed as error:
             self._record_outcome(upstream_id, Outcome.UNREACHABLE, started_s)
             return AttemptResult(Disposition.UNREACHABLE, cause=str(error))
-        if not self._view.upstreams.takes_work(upstream_id):
+        if not self._view.upstreams.is_ready(upstream_id):
             self._pool.release(upstream_id, connection)
             return AttemptResult(
                 Disposition.DRAINING, cause="upstream is draining; nothing was sent"
@@ -102,13 +102,15 @@
         now_s = self._loop.time()
         load = self._contract.reported_load(received)
         if load is not None:
-            self._view.load.report(upstream_id, max(load.running + load.waiting - 1, 0), now_s)
+            self._view.load.record_reported_load(
+                upstream_id, max(load.running + load.waiting - 1, 0), now_s
+            )
         response_kind = self._contract.kind(received)
         if response_kind not in (AnswerKind.WRONG_UPSTREAM, AnswerKind.INVALID):
             self._record_advertised_limit(upstream_id, received)
         if response_kind is AnswerKind.SERVED:
             self._record_outcome(upstream_id, Outcome.SUCCESS, started_s)
-            self._view.crashers.answered(pending.digest)
+            self._view.crashers.clear(pending.digest)
             return AttemptResult(Disposition.SERVED, received)
         if response_kind is AnswerKind.NOT_RUN:
             self._record_outcome(upstream_id, Outcome.SHED, started_s)
@@ -116,7 +118,7 @@
                 Disposition.NOT_RUN, received, "refused by the upstream without running"
             )
         if response_kind is AnswerKind.WRONG_UPSTREAM:
-            self._view.upstreams.mark_gone(upstream_id)
+            self._view.upstreams.mark_draining(upstream_id)
             self._log.event("upstream_replaced", upstream=upstream_id)
             return AttemptResult(Disposition.NOT_RUN, received, "another upstream uses the address")
         if response_kind is AnswerKind.EXPIRED:
--- a/src/egretrail/gateway/_config_state.py
+++ b/src/egretrail/gateway/_config_state.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from egretrail.cluster import KnownOutlines, PartedConfig
-from egretrail.traffic import AccountTable, FleetConfig, RouteTable, UrgencyTable
+from egretrail.traffic import AccountTable, FleetConfig, ObjectiveTable, RouteTable
 
 #: Hubs report their version several times a second. After this silence, an instance is cut off and
 #: its configuration may be out of date.
@@ -23,7 +23,7 @@
         #: The routes of the configuration.
         self.routes: RouteTable | None = None
         #: The latency objectives by which its requests are ranked.
-        self.urgency: UrgencyTable | None = None
+        self.urgency: ObjectiveTable | None = None
         #: The client accounts of the configuration; None if requests need no API key.
         self.accounts: AccountTable | None = None
         #: The chunk digests of recent configurations, for peers that still have those.
@@ -85,7 +85,7 @@
             return False
         self.chunked = chunked
         self.routes = RouteTable(chunked.config)
-        self.urgency = UrgencyTable(chunked.config)
+        self.urgency = ObjectiveTable(chunked.config)
         accounts = chunked.config.accounts
         self.accounts = None if accounts is None else AccountTable(accounts)
         self.manifests.remember(chunked)
--- a/src/egretrail/gateway/_evidence.py
+++ b/src/egretrail/gateway/_evidence.py
@@ -9,7 +9,7 @@
     Outcome,
     Placement,
     ServiceDurations,
-    SuspicionBook,
+    SuspicionTable,
 )
 from egretrail.gateway._log import EventLog
 from egretrail.traffic import UpstreamRecord, UpstreamTable, upstream_key
@@ -31,7 +31,7 @@
         upstreams: UpstreamTable,
         load: FleetLoad,
         durations: ServiceDurations,
-        suspicion: SuspicionBook,
+        suspicion: SuspicionTable,
         placement: Placement,
         log: EventLog,
     ) -> None:
@@ -79,8 +79,8 @@
         record = self._upstreams.records.get(self.ids_by_key.get(key, ""))
         if record is None:
             return
-        if self._suspicion.is_clear(record.id):
-            self._load.answered(record.id, now_s)
+        if self._suspicion.has_no_evidence(record.id):
+            self._load.record_response(record.id, now_s)
             self._record_duration(record, duration_s, now_s)
             return
         observation = Observation(record.id, Outcome.SUCCESS, duration_s)
@@ -90,16 +90,16 @@
         record = self._upstreams.records.get(observation.upstream_id)
         if record is None:
             return
-        before = self._suspicion.standing(observation.upstream_id, now_s)
+        before = self._suspicion.health(observation.upstream_id, now_s)
         typical_s = self._durations.mean_s(record.service)
-        self._suspicion.observe(observation, observer, typical_s, now_s)
+        self._suspicion.record_outcome(observation, observer, typical_s, now_s)
         if observation.outcome in _ANSWERED:
-            self._load.answered(observation.upstream_id, now_s)
+            self._load.record_response(observation.upstream_id, now_s)
         if observation.outcome is Outcome.SUCCESS:
             self._record_duration(record, observation.duration_s, now_s)
         elif observation.outcome in _LOST_ANSWERS:
-            self._placement.trials.failed(record.service, now_s)
-        after = self._suspicion.standing(observation.upstream_id, now_s)
+            self._placement.trials.record_failure(record.service, now_s)
+        after = self._suspicion.health(observation.upstream_id, now_s)
         if before is not after:
             self._log.event(
                 "upstream_standing",
@@ -116,4 +116,4 @@
         """Record the duration of work without the time spent waiting for a slot."""
         under_way = self._load.in_flight(record.id, now_s) + 1
         waiting = max(under_way - record.slots, 0) / record.slots
-        self._durations.observe(record.service, record.id, duration_s / (1.0 + waiting))
+        self._durations.record(record.service, record.id, duration_s / (1.0 + waiting))
--- a/src/egretrail/gateway/_executor.py
+++ b/src/egretrail/gateway/_executor.py
@@ -141,17 +141,17 @@
                     "over_quota",
                     excess.retry_after_s,
                     account=account.name,
-                    room=excess.room,
+                    room=excess.remaining,
                     demand_per_s=excess.demand_per_s,
                 )
                 return self._contract.over_quota(excess.retry_after_s)
         service = choose_service(route, self._rng)
         now_s = self._loop.time()
-        view.repeats.routed(service, now_s)
+        view.repeats.record_request(service, now_s)
         digest = request_digest(
             (request.method, metadata.host.encode(), request.target, request.body)
         )
-        if view.crashers.refuses(digest, now_s):
+        if view.crashers.is_blocked(digest, now_s):
             self._record_refusal(metadata, route.name, "crashes_upstreams", _CRASHING_RETRY_S)
             return self._contract.not_run(_CRASHING_RETRY_S)
         wait_s = metadata.wait_s if metadata.wait_s is not None else _DEFAULT_WAIT_S
@@ -188,7 +188,7 @@
                     choice = running.pop(task)
                     result = task.result()
                     if result.disposition is Disposition.SERVED and result.received is not None:
-                        self._view.sizes.observe(pending.route.name, len(result.received.body))
+                        self._view.sizes.record(pending.route.name, len(result.received.body))
                         return self._contract.answer(result.received), "served"
                     self._record_failed_attempt(pending, choice, result)
                     if self._may_retry_after_failure(pending, result):
@@ -242,11 +242,12 @@
         now_s = self._loop.time()
         query = PlacementQuery(
             service=pending.service,
-            left_s=pending.deadline_s - now_s,
-            worth_s=pending.request.received_s + pending.route.objective_s - now_s,
-            repeatable=pending.is_retryable and pending.send_count + 1 < pending.route.max_attempts,
+            remaining_s=pending.deadline_s - now_s,
+            objective_remaining_s=pending.request.received_s + pending.route.objective_s - now_s,
+            is_retryable=pending.is_retryable
+            and pending.send_count + 1 < pending.route.max_attempts,
             urgent_objective_s=self._urgent_objective_s(pending),
-            answer_bytes=self._view.sizes.mean_bytes(pending.route.name),
+            response_bytes=self._view.sizes.mean_bytes(pending.route.name),
             spare_only=spare_only,
             excluded=pending.tried,
             connected=self._pool.idle_upstreams(),
@@ -256,10 +257,10 @@
         if isinstance(choice, Refusal):
             return choice
         if pending.send_count > 0:
-            self._view.repeats.repeated(pending.service, now_s)
+            self._view.repeats.record_retry(pending.service, now_s)
         if pending.account is not None and not pending.is_charged:
             pending.is_charged = True
-            self._view.quotas.sent(pending.account, now_s)
+            self._view.quotas.record_send(pending.account, now_s)
         pending.tried.append(choice.upstream.id)
         pending.send_count += 1
         self._log.event(
@@ -272,12 +273,12 @@
             number=pending.send_count,
             in_flight=choice.in_flight,
             slots=choice.upstream.slots,
-            considered=choice.considered,
-            trial=choice.trial,
-            left_s=query.left_s,
+            considered=choice.candidate_count,
+            trial=choice.is_trial,
+            left_s=query.remaining_s,
             upstreams_revision=self._view.upstreams.revision,
         )
-        self._view.begin(choice.upstream.id, trial=choice.trial)
+        self._view.begin(choice.upstream.id, trial=choice.is_trial)
         task = self._loop.create_task(self._attempt_runner.run(pending, choice.upstream))
         # A callback, since a task that is cancelled before its first step runs none of its code.
         task.add_done_callback(lambda _: self._view.end(choice.upstream.id))
@@ -329,7 +330,7 @@
         """Return the final response to a request that was not served, and its logged outcome."""
         if not pending.may_have_run and not has_running_attempts:
             # Upstreams that refused have capacity again when some of their requests have ended.
-            pause_s = self._view.placement.pause_s(pending.service)
+            pause_s = self._view.placement.retry_after_s(pending.service)
             retry_after_s = refusal.retry_after_s if refusal is not None else pause_s
             self._record_refusal(
                 pending.metadata,
--- a/src/egretrail/gateway/_named_limits.py
+++ b/src/egretrail/gateway/_named_limits.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from egretrail.cluster import LimitReport, Membership, OwnNews
-from egretrail.dispatch import LimitPlace, StatedLimit, UpstreamLimits
+from egretrail.dispatch import AdvertisedLimit, AdvertisedLimits, LimitPosition
 from egretrail.gateway._log import EventLog
 from egretrail.identity import rendezvous_order
 from egretrail.traffic import UpstreamRecord, upstream_key
@@ -15,7 +15,7 @@
     def __init__(
         self,
         own_address: str,
-        position_of: Callable[[UpstreamRecord], LimitPlace],
+        position_of: Callable[[UpstreamRecord], LimitPosition],
         reports: OwnNews,
         log: EventLog,
     ) -> None:
@@ -23,12 +23,12 @@
         self._reports = reports
         self._log = log
         #: The limits, and this instance's shares of them.
-        self.upstreams = UpstreamLimits(position_of)
+        self.upstreams = AdvertisedLimits(position_of)
 
     def record_own(self, upstream_id: str, limit_per_s: float | None, now_s: float) -> bool:
         """Record the limit in an answer to this instance; return whether it must be reported."""
         before = self.upstreams.limit_per_s(upstream_id)
-        advertised = self.upstreams.named(upstream_id, limit_per_s, now_s)
+        advertised = self.upstreams.record_advertised(upstream_id, limit_per_s, now_s)
         if advertised is None:
             return False
         self._log_change(advertised, before, self._own_address)
@@ -48,11 +48,11 @@
             if upstream_id is None:
                 continue
             before = self.upstreams.limit_per_s(upstream_id)
-            advertised = StatedLimit(upstream_id, report.limit_per_s, now_s - report.age_s)
-            if self.upstreams.hear(advertised, now_s):
+            advertised = AdvertisedLimit(upstream_id, report.limit_per_s, now_s - report.age_s)
+            if self.upstreams.apply_peer_limit(advertised, now_s):
                 self._log_change(advertised, before, source)
 
-    def _log_change(self, advertised: StatedLimit, before: float | None, source: str) -> None:
+    def _log_change(self, advertised: AdvertisedLimit, before: float | None, source: str) -> None:
         if advertised.limit_per_s != before:
             self._log.event(
                 "upstream_limit",
@@ -71,7 +71,7 @@
     leaving: bool,
     fleet_size: int,
     known_share: float,
-) -> LimitPlace:
+) -> LimitPosition:
     """Return this instance's position among those that share an upstream's limit."""
     zones = membership.zones()
     responsible = record.availability_zone
@@ -80,4 +80,4 @@
     size = membership.zone_size()
     # An instance that is stopping ranks last, so that another one takes its share.
     rank = size if leaving else membership.rank_for(f"limit {record.id}", own_zone)
-    return LimitPlace(responsible == own_zone, rank, size, fleet_size, known_share)
+    return LimitPosition(responsible == own_zone, rank, size, fleet_size, known_share)
--- a/src/egretrail/gateway/_process.py
+++ b/src/egretrail/gateway/_process.py
@@ -205,8 +205,8 @@
         for kind, size_bytes in self._peers.bytes_across.items():
             gauges[f'peer_bytes_across_zones_total{{kind="{kind}"}}'] = float(size_bytes)
         known_share = self._view.known_share()
-        for service, use in self._view.repeats.uses(self._loop.time(), known_share).items():
-            gauges[f'repeats_in_window{{service="{service}"}}'] = float(use.repeats)
+        for service, use in self._view.repeats.usage(self._loop.time(), known_share).items():
+            gauges[f'repeats_in_window{{service="{service}"}}'] = float(use.retries)
             gauges[f'repeats_allowed{{service="{service}"}}'] = use.allowed
         return Answer(200, self._metrics.text(gauges), [(b"Content-Type", b"text/plain")])
 
--- a/src/egretrail/gateway/_store_sync.py
+++ b/src/egretrail/gateway/_store_sync.py
@@ -320,7 +320,7 @@
         revision = read.ok_value.revision
         self._check_era(revision)
         # Upstreams that are alive write their entry again, and a watch returns it.
-        vanished = self._view.upstreams.vanished_before(revision_era(revision))
+        vanished = self._view.upstreams.absent_since_before(revision_era(revision))
         entries = [one for one in read.ok_value.entries if self._name(one) not in vanished]
         records = {record.name: record for record in self._decode(entries)}
         gone = {record.name for record in self._view.upstreams} - records.keys()
@@ -404,7 +404,7 @@
         """Keep ready upstreams whose entries expired in an outage for their grace period."""
         now_s = self._loop.time()
         for name in gone:
-            record = self._view.upstreams.named(name)
+            record = self._view.upstreams.find_by_name(name)
             if record is None or record.state is not UpstreamState.READY:
                 continue
             if self._is_expired(record, gone, now_s):
--- a/src/egretrail/gateway/_view.py
+++ b/src/egretrail/gateway/_view.py
@@ -23,22 +23,22 @@
 )
 from egretrail.dispatch import (
     AccountQuotas,
-    AnswerSizes,
     CrashingRequests,
-    DoubtRecord,
     FleetLoad,
-    LimitPlace,
+    FleetRetryBudget,
+    LimitPosition,
     Observation,
     Outcome,
-    OverQuota,
     Placement,
-    RepeatBudget,
+    QuotaExceeded,
     RequestDigest,
+    ResponseSizes,
     ServiceDurations,
     SlotShares,
-    Standing,
-    SuspicionBook,
-    TrialPace,
+    SuspicionRecord,
+    SuspicionTable,
+    TrialScheduler,
+    UpstreamHealth,
 )
 from egretrail.gateway._awaited_upstreams import AwaitedUpstreams
 from egretrail.gateway._config_state import ConfigState
@@ -99,13 +99,13 @@
         #: Typical durations of work.
         self.durations = ServiceDurations()
         #: Typical sizes of answers.
-        self.sizes = AnswerSizes()
+        self.sizes = ResponseSizes()
         #: Suspicions about upstreams.
-        self.suspicion = SuspicionBook(settings.ip)
+        self.suspicion = SuspicionTable(settings.ip)
         #: Requests that crash upstreams.
         self.crashers = CrashingRequests()
         #: The remaining retry budget.
-        self.repeats = RepeatBudget(
+        self.repeats = FleetRetryBudget(
             settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack, clock()
         )
         #: The remaining quotas of client accounts.
@@ -113,7 +113,7 @@
         own_zone = settings.availability_zone
         #: The slots of the zone's upstreams that this instance prefers.
         self.shares = SlotShares(lambda task: self.membership.rank_for(task, own_zone))
-        self.membership.on_change = self.shares.changed
+        self.membership.on_change = self.shares.invalidate
         #: Rate limits that upstreams have advertised.
         self.limits = LimitExchange(settings.ip, self._limit_position, self._reports, log)
         #: Chooses upstreams.
@@ -122,9 +122,9 @@
             self.load,
             self.durations,
             self.suspicion,
-            TrialPace(self.load, self.suspicion, self._trial_rank, self.repeats.request_rate),
+            TrialScheduler(self.load, self.suspicion, self._trial_rank, self.repeats.request_rate),
             limits=self.limits.upstreams,
-            owns=self.shares.owns,
+            has_slot_share=self.shares.has_share,
             rng=rng,
         )
         self._evidence = OutcomeRecorder(
@@ -278,7 +278,7 @@
     ) -> None:
         """Apply changes of the list of upstreams by name; None removes an entry."""
         before = dict(self.upstreams.records)
-        self.upstreams.apply(changes, revision)
+        self.upstreams.apply_changes(changes, revision)
         self._upstreams_changed(before, source)
 
     def drop_upstreams(self, upstream_ids: Iterable[str]) -> None:
@@ -318,7 +318,7 @@
             for instance in section.roster.instances:
                 self.membership.introduce(instance, now_s)
         for loss in section.losses:
-            self.crashers.lost(loss.digest, _loss_name(loss.upstream_key), now_s)
+            self.crashers.record_loss(loss.digest, _loss_name(loss.upstream_key), now_s)
         self._apply_drop_reports(section.dropped, source)
         self.limits.record_reported(section.limits, self._evidence.ids_by_key, source, now_s)
         for finding in section.findings[known_count:]:
@@ -386,7 +386,7 @@
     def observe(self, observation: Observation, digest: RequestDigest | None = None) -> None:
         """Record an outcome that this instance observed, and report it to the others."""
         now_s = self._clock()
-        suspected = self.suspicion.standing(observation.upstream_id, now_s) is not Standing.GOOD
+        suspected = self.suspicion.health(observation.upstream_id, now_s) is not UpstreamHealth.GOOD
         own_name = self._settings.ip
         self._evidence.record_own(observation, own_name, now_s)
         key = upstream_key(observation.upstream_id)
@@ -396,7 +396,7 @@
         else:
             self._reports.found(finding, now_s)
         if observation.outcome is Outcome.BROKEN and digest is not None:
-            self.crashers.lost(digest, _loss_name(key), now_s)
+            self.crashers.record_loss(digest, _loss_name(key), now_s)
             self._reports.lost(LossReport(digest, key), now_s)
         self.on_update(observation.outcome in URGENT_OUTCOMES)
 
@@ -409,15 +409,15 @@
     def begin(self, upstream_id: str, *, trial: bool) -> None:
         """Count a request sent to an upstream; the start of a trial is reported as urgent."""
         now_s = self._clock()
-        self.load.started(upstream_id, now_s)
+        self.load.record_start(upstream_id, now_s)
         record = self.upstreams.records.get(upstream_id)
         if record is not None:
-            self.limits.upstreams.sent(record, now_s)
+            self.limits.upstreams.record_send(record, now_s)
         self.on_update(trial)
 
     def end(self, upstream_id: str) -> None:
         """Remove a request from an upstream's count."""
-        self.load.finished(upstream_id)
+        self.load.record_finish(upstream_id)
         self.on_update(False)
 
     def known_share(self) -> float:
@@ -436,11 +436,14 @@
         own_part = 1.0 / max(self.zones.instances(now_s), self.membership.size())
         return self.repeats.permits(service, now_s, self.known_share(), own_part)
 
-    def admit_to_quota(self, account: ClientAccount) -> OverQuota | None:
+    def admit_to_quota(self, account: ClientAccount) -> QuotaExceeded | None:
         """Count a request of an account; return why the quota refuses it, or None."""
         now_s = self._clock()
         over = self.quotas.admit(
-            account, now_s, self.known_share(), hears_all=self.zones.receives_all_zones(now_s)
+            account,
+            now_s,
+            self.known_share(),
+            all_zones_reporting=self.zones.receives_all_zones(now_s),
         )
         self.on_update(False)
         return over
@@ -450,17 +453,17 @@
         readers = self.zones.store_readers(self._clock())
         return readers > (1 if self.store_contact else 0)
 
-    def suspicions(self) -> Sequence[DoubtRecord]:
+    def suspicions(self) -> Sequence[SuspicionRecord]:
         """Return the suspicions about upstreams, for an instance that has just started."""
-        return self.suspicion.records(self._clock())
+        return self.suspicion.export_records(self._clock())
 
-    def adopt_suspicions(self, records: Sequence[DoubtRecord]) -> None:
+    def adopt_suspicions(self, records: Sequence[SuspicionRecord]) -> None:
         """Import the suspicions that a peer sent when this instance started."""
         if records:
             self._log.event("doubts_adopted", upstreams=len(records))
-            self.suspicion.adopt(records, self._clock())
+            self.suspicion.import_records(records, self._clock())
 
-    def _limit_position(self, record: UpstreamRecord) -> LimitPlace:
+    def _limit_position(self, record: UpstreamRecord) -> LimitPosition:
         return limit_position(
             record,
             self.membership,
@@ -479,7 +482,7 @@
         ]
         if gone:
             before = dict(known)
-            self.upstreams.drop(gone)
+            self.upstreams.remove(gone)
             self._upstreams_changed(before, source)
 
     def _state(self) -> InstanceState:
@@ -515,13 +518,13 @@
                     source=source,
                 )
             if new is None:
-                self.durations.forget(upstream_id)
-                self.placement.warm_from_s.pop(upstream_id, None)
+                self.durations.remove_upstream(upstream_id)
+                self.placement.warmup_until_s.pop(upstream_id, None)
             elif old is None and new.warmup_s > 0:
-                self.placement.warm_from_s[upstream_id] = self._clock() + new.warmup_s
+                self.placement.warmup_until_s[upstream_id] = self._clock() + new.warmup_s
         listed = set(after)
         self._evidence.keep_only(listed)
-        self.shares.changed()
+        self.shares.invalidate()
         self.load.keep_only(listed)
         self.suspicion.keep_only(listed)
         self.limits.upstreams.keep_only(listed)
--- a/src/egretrail/gateway/_zones.py
+++ b/src/egretrail/gateway/_zones.py
@@ -13,7 +13,7 @@
     address_part,
     replace_part,
 )
-from egretrail.dispatch import AccountQuotas, FleetLoad, RepeatBudget, RepeatCounts
+from egretrail.dispatch import AccountQuotas, FleetLoad, FleetRetryBudget, RetryCounts
 
 #: After this time without a section, the loads of a zone are worthless: most of that work has
 #: ended. The hub of the own zone sends ten sections a second, those of other zones send two.
@@ -97,7 +97,7 @@
     """
 
     def __init__(
-        self, own_zone: str, load: FleetLoad, retry_budget: RepeatBudget, quotas: AccountQuotas
+        self, own_zone: str, load: FleetLoad, retry_budget: FleetRetryBudget, quotas: AccountQuotas
     ) -> None:
         self._own_zone = own_zone
         self._load = load
@@ -112,7 +112,7 @@
         """Remember a heartbeat of this instance, which the own zone's aggregates will include."""
         self._zone_peers.sent(heartbeat, now_s)
 
-    def known_retries(self, now_s: float) -> Mapping[str, RepeatCounts]:
+    def known_retries(self, now_s: float) -> Mapping[str, RetryCounts]:
         """Return the part of this instance's retry counts that the zone's hub has aggregated."""
         return self._zone_peers.told_repeats(now_s)
 
@@ -150,8 +150,8 @@
             counts = {
                 ids_by_key[key]: zone.loads.get(key, 0) for key in changed_keys if key in ids_by_key
             }
-            self._load.changed(section.availability_zone, counts, now_s)
-        self._quotas.told(zone.lifetime, section.accounts, now_s)
+            self._load.update_peer_counts(section.availability_zone, counts, now_s)
+        self._quotas.apply_zone_reports(zone.lifetime, section.accounts, now_s)
         self._record_retries(zone, section.repeats, now_s)
         zone.has_retry_counts = True
 
@@ -203,9 +203,9 @@
         ]
         for name in silent:
             lifetime = self._zones.pop(name).lifetime
-            self._retry_budget.forget(lifetime)
-            self._quotas.forget(lifetime)
-            self._load.forget(name)
+            self._retry_budget.remove_peer(lifetime)
+            self._quotas.remove_hub(lifetime)
+            self._load.remove_peer(name)
             if name == self._own_zone:
                 self._reset_own_zone()
         return silent
@@ -259,8 +259,8 @@
         zone = self._zones.get(name)
         if zone is None or zone.lifetime != lifetime:
             if zone is not None:
-                self._retry_budget.forget(zone.lifetime)
-                self._quotas.forget(zone.lifetime)
+                self._retry_budget.remove_peer(zone.lifetime)
+                self._quotas.remove_hub(zone.lifetime)
             if name == self._own_zone:
                 self._reset_own_zone()
             loads = zone.loads if zone is not None else {}
@@ -273,7 +273,7 @@
     def _reset_own_zone(self) -> None:
         """Discard the state of the previous hub: aggregates and acknowledgement indexes differ."""
         self._zone_peers.start_anew()
-        self._load.forget(self._own_zone)
+        self._load.remove_peer(self._own_zone)
         self._ack_index = None
 
     def _apply_own_zone(
@@ -282,22 +282,20 @@
         own_before = set(self._zone_peers.own_keys())
         self._zone_peers.take(section, self._ack_index)
         if section.accounts:
-            self._quotas.acknowledged(self._zone_peers.acknowledged_accounts)
-            self._quotas.told(zone.lifetime, section.accounts, now_s)
+            self._quotas.apply_acknowledgement(self._zone_peers.acknowledged_accounts)
+            self._quotas.apply_zone_reports(zone.lifetime, section.accounts, now_s)
         changed_keys = own_before | set(self._zone_peers.own_keys())
         counts = {**self._zone_peers.of_others(changed_keys), **self._zone_peers.loads(section)}
         reported = {ids_by_key[key]: count for key, count in counts.items() if key in ids_by_key}
-        self._load.changed(self._own_zone, reported, now_s)
+        self._load.update_peer_counts(self._own_zone, reported, now_s)
         # Retry counts start at zero with each hub that is followed.
         zone.has_retry_counts = True
         self._record_retries(zone, self._zone_peers.repeats(), now_s)
 
-    def _record_retries(
-        self, zone: _Zone, totals: Mapping[str, RepeatCounts], now_s: float
-    ) -> None:
+    def _record_retries(self, zone: _Zone, totals: Mapping[str, RetryCounts], now_s: float) -> None:
         for service, total in totals.items():
             if zone.has_retry_counts and service not in zone.services:
                 # The service was not in the earlier aggregates, so all of its counts are new.
-                self._retry_budget.told(zone.lifetime, service, RepeatCounts(), now_s)
+                self._retry_budget.apply_peer_counts(zone.lifetime, service, RetryCounts(), now_s)
             zone.services.add(service)
-            self._retry_budget.told(zone.lifetime, service, total, now_s)
+            self._retry_budget.apply_peer_counts(zone.lifetime, service, total, now_s)
--- a/src/egretrail/gateway/tests/test_hubs_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_hubs_in_trouble.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from egretrail.dispatch import Observation, Outcome, Standing
+from egretrail.dispatch import Observation, Outcome, UpstreamHealth
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.testing import EgretrailTestCase, cases
 
@@ -146,8 +146,8 @@
             await asyncio.sleep(0.6)
             now_s = asyncio.get_running_loop().time()
             for address, view in fleet.views.items():
-                standing = view.suspicion.standing("u", now_s)
-                self.assertIs(Standing.SUSPECT, standing, address)
+                standing = view.suspicion.health("u", now_s)
+                self.assertIs(UpstreamHealth.SUSPECT, standing, address)
 
         self._run(failure, check)
 
@@ -184,10 +184,10 @@
                 while True:
                     await asyncio.sleep(0.01)
                     view = rng.choice(list(fleet.views.values()))
-                    view.repeats.routed("s", loop.time())
+                    view.repeats.record_request("s", loop.time())
                     routed_s.append(loop.time())
                     if view.permits_repeat("s"):
-                        view.repeats.repeated("s", loop.time())
+                        view.repeats.record_retry("s", loop.time())
                         sent_s.append(loop.time())
 
             work = loop.create_task(retry_forever())
--- a/src/egretrail/gateway/tests/test_named_limits.py
+++ b/src/egretrail/gateway/tests/test_named_limits.py
@@ -70,13 +70,13 @@
 
     def _send(self, address: str) -> None:
         view = self.fleet.views[address]
-        query = PlacementQuery("s", left_s=3.0, worth_s=3.0, repeatable=False)
+        query = PlacementQuery("s", remaining_s=3.0, objective_remaining_s=3.0, is_retryable=False)
         choice = view.placement.choose(query, view.upstreams.ready("s"), self.now_s)
         if not isinstance(choice, Choice):
             self.refused += 1
             return
         name = choice.upstream.id
-        view.begin(name, trial=choice.trial)
+        view.begin(name, trial=choice.is_trial)
         self.arrivals_s.setdefault(name, []).append(self.now_s)
 
         def answered() -> None:
--- a/src/egretrail/gateway/tests/test_peers.py
+++ b/src/egretrail/gateway/tests/test_peers.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from egretrail.dispatch import Observation, Outcome, Standing
+from egretrail.dispatch import Observation, Outcome, UpstreamHealth
 from egretrail.gateway._view import FleetView
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.gateway.tests.settings import gateway_settings
@@ -92,8 +92,8 @@
             fleet.views[fleet.addresses[3]].observe(Observation("u", Outcome.FAILED, 0.003))
             await asyncio.sleep(0.06)
             loop = asyncio.get_running_loop()
-            standings = {view.suspicion.standing("u", loop.time()) for view in fleet.views.values()}
-            self.assertEqual({Standing.SUSPECT}, standings)
+            standings = {view.suspicion.health("u", loop.time()) for view in fleet.views.values()}
+            self.assertEqual({UpstreamHealth.SUSPECT}, standings)
             for task in tasks:
                 task.cancel()
 
@@ -149,8 +149,8 @@
             fleet.views[fleet.addresses[40]].observe(Observation("u", Outcome.FAILED, 0.001))
             await asyncio.sleep(0.3)
             loop = asyncio.get_running_loop()
-            standings = [view.suspicion.standing("u", loop.time()) for view in fleet.views.values()]
-            self.assertGreaterEqual(standings.count(Standing.SUSPECT), 122)
+            standings = [view.suspicion.health("u", loop.time()) for view in fleet.views.values()]
+            self.assertGreaterEqual(standings.count(UpstreamHealth.SUSPECT), 122)
             self.assertEqual(set(fleet.addresses), fleet.known_instances(fleet.addresses[-1]))
             for task in [*tasks, work]:
                 task.cancel()
@@ -192,7 +192,7 @@
             # This change has no revision of the store.
             views[0].drop_upstreams(["u"])
             await asyncio.sleep(0.6)
-            held = [view.upstreams.takes_work("u") for view in views]
+            held = [view.upstreams.is_ready("u") for view in views]
             self.assertEqual([False] * 11 + [stays], held)
             for task in tasks:
                 task.cancel()
--- a/src/egretrail/gateway/tests/test_quotas.py
+++ b/src/egretrail/gateway/tests/test_quotas.py
@@ -50,7 +50,7 @@
             now_s = loop.time()
             self.received_s.append(now_s)
             if view.admit_to_quota(self.account) is None:
-                view.quotas.sent(self.account, now_s)
+                view.quotas.record_send(self.account, now_s)
                 self.admitted_s.append(now_s)
 
     def most_admitted(self) -> int:
--- a/src/egretrail/traffic/__init__.py
+++ b/src/egretrail/traffic/__init__.py
@@ -9,7 +9,7 @@
     Service,
     WeightedService,
 )
-from egretrail.traffic._objectives import UrgencyTable, request_priority
+from egretrail.traffic._objectives import ObjectiveTable, request_priority
 from egretrail.traffic._revision import revision_era, revision_number, store_revision
 from egretrail.traffic._routing import RouteTable, choose_service
 from egretrail.traffic._upstreams import (
@@ -24,6 +24,7 @@
     "ClientAccount",
     "ClientLimits",
     "FleetConfig",
+    "ObjectiveTable",
     "Route",
     "RouteKind",
     "RouteTable",
@@ -31,7 +32,6 @@
     "UpstreamRecord",
     "UpstreamState",
     "UpstreamTable",
-    "UrgencyTable",
     "WeightedService",
     "choose_service",
     "key_digest",
--- a/src/egretrail/traffic/_objectives.py
+++ b/src/egretrail/traffic/_objectives.py
@@ -13,7 +13,7 @@
     return account.priority
 
 
-class UrgencyTable:
+class ObjectiveTable:
     """The shortest objectives of a configuration's requests, by service and priority."""
 
     def __init__(self, config: FleetConfig) -> None:
--- a/src/egretrail/traffic/_upstreams.py
+++ b/src/egretrail/traffic/_upstreams.py
@@ -117,16 +117,16 @@
         """Return the upstreams of a service that accept new work."""
         return self._by_service.get(service, [])
 
-    def named(self, name: str) -> UpstreamRecord | None:
+    def find_by_name(self, name: str) -> UpstreamRecord | None:
         """Return the listed lifetime of a name."""
         return self._by_name.get(name)
 
-    def takes_work(self, upstream_id: str) -> bool:
+    def is_ready(self, upstream_id: str) -> bool:
         """Return whether an upstream is listed and accepts new work."""
         record = self.records.get(upstream_id)
         return record is not None and record.state is UpstreamState.READY
 
-    def vanished_before(self, era: int) -> set[str]:
+    def absent_since_before(self, era: int) -> set[str]:
         """Return the names that were last known to be absent in an earlier era of the store.
 
         A store that was restored from an older copy lists them again, alive or not.
@@ -162,7 +162,7 @@
         self._rebuild_indexes()
         return True
 
-    def apply(self, changes: Mapping[str, UpstreamRecord | None], revision: int) -> None:
+    def apply_changes(self, changes: Mapping[str, UpstreamRecord | None], revision: int) -> None:
         """Apply the changes up to a revision, by name; None for a removed record.
 
         The changes start at the known revision or before it. If they end there or before it, they
@@ -182,7 +182,7 @@
         self.revision = revision
         self._record_changes(changes, revision)
 
-    def drop(self, names: Iterable[str]) -> None:
+    def remove(self, names: Iterable[str]) -> None:
         """Remove records that the store has not confirmed since the known revision."""
         for name in names:
             record = self._by_name.pop(name, None)
@@ -202,7 +202,7 @@
         names = dict.fromkeys(change.name for change in self._changes if change.revision > revision)
         return {name: self._by_name.get(name) for name in names}
 
-    def mark_gone(self, upstream_id: str) -> None:
+    def mark_draining(self, upstream_id: str) -> None:
         """Stop sending requests to an upstream whose address responds for another lifetime.
 
         If the store is slow, this response arrives before the updated list.
--- a/src/egretrail/traffic/tests/test_traffic.py
+++ b/src/egretrail/traffic/tests/test_traffic.py
@@ -19,13 +19,13 @@
     ClientAccount,
     ClientLimits,
     FleetConfig,
+    ObjectiveTable,
     Route,
     RouteKind,
     RouteTable,
     UpstreamRecord,
     UpstreamState,
     UpstreamTable,
-    UrgencyTable,
     WeightedService,
     choose_service,
     request_priority,
@@ -72,7 +72,7 @@
     def test_the_shortest_objective_of_more_urgent_requests(self) -> None:
         urgent = replace(_route("u", "/u/"), priority=0, objective_s=0.5)
         normal = replace(_route("v", "/v/"), priority=2, objective_s=0.2)
-        table = UrgencyTable(FleetConfig(1, [urgent, normal], {}, ClientLimits()))
+        table = ObjectiveTable(FleetConfig(1, [urgent, normal], {}, ClientLimits()))
         found = [table.shortest_objective_s("s0", priority) for priority in (0, 1, 2, 3)]
         self.assertEqual([None, 0.5, 0.5, 0.2], found)
         self.assertIsNone(table.shortest_objective_s("other", 3))
@@ -82,9 +82,9 @@
         accounts = [ClientAccount("a", (), 1, 0.0, 0.0), ClientAccount("b", (), None, 0.0, 0.0)]
         self.assertEqual([1, 0, 0], [request_priority(route, one) for one in [*accounts, None]])
         config = FleetConfig(1, [route], {}, ClientLimits(), accounts[:1])
-        self.assertIsNone(UrgencyTable(config).shortest_objective_s("s0", 1))
+        self.assertIsNone(ObjectiveTable(config).shortest_objective_s("s0", 1))
         public = replace(config, routes=[replace(route, is_public=True)])
-        self.assertEqual(0.5, UrgencyTable(public).shortest_objective_s("s0", 1))
+        self.assertEqual(0.5, ObjectiveTable(public).shortest_objective_s("s0", 1))
 
 
 class WeightedServicesTest(EgretrailTestCase):
@@ -117,23 +117,23 @@
     def test_a_drained_upstream_never_becomes_ready_again(self) -> None:
         table = UpstreamTable()
         table.replace([_record("u1"), _record("u2")], 10)
-        table.apply({"u1": _record("u1", UpstreamState.DRAINING)}, 11)
+        table.apply_changes({"u1": _record("u1", UpstreamState.DRAINING)}, 11)
         table.replace([_record("u1"), _record("u2")], 12)
         self.assertEqual({"u2"}, self._ready(table))
 
     def test_an_upstream_whose_address_responds_for_another_is_not_ready(self) -> None:
         table = UpstreamTable()
         table.replace([_record("u1")], 10)
-        table.mark_gone("u1")
+        table.mark_draining("u1")
         table.replace([_record("u1")], 12)
         self.assertEqual(set(), self._ready(table))
 
     def test_removed_upstreams_may_be_listed_again(self) -> None:
         table = UpstreamTable()
         table.replace([_record("u1")], 10)
-        table.apply({"u1": None}, 11)
+        table.apply_changes({"u1": None}, 11)
         self.assertEqual(set(), self._ready(table))
-        table.apply({"u1": _record("u1")}, 12)
+        table.apply_changes({"u1": _record("u1")}, 12)
         self.assertEqual({"u1"}, self._ready(table))
 
 
@@ -177,16 +177,16 @@
                     kept = {held.name: held for held in table if held.name != name}
                     table.replace([*kept.values(), *([record] if record else [])], revision)
                 else:
-                    table.apply({name: record}, revision)
+                    table.apply_changes({name: record}, revision)
             self.assertEqual(expected, {record.started_ms for record in table.ready("s")})
 
     def test_a_response_for_another_lifetime_drains_only_the_addressed_one(self) -> None:
         table = UpstreamTable()
         old, new = _record("u", started_ms=5), _record("u", started_ms=9)
-        table.apply({"u": old}, 1)
-        table.mark_gone(old.id)
-        table.apply({"u": new}, 2)
-        table.mark_gone(old.id)
+        table.apply_changes({"u": old}, 1)
+        table.mark_draining(old.id)
+        table.apply_changes({"u": new}, 2)
+        table.mark_draining(old.id)
         self.assertEqual([new.id], [record.id for record in table.ready("s")])
 
 
@@ -218,7 +218,7 @@
     def write(self, name: str, started_ms: int, draining: bool) -> None:
         record = _record(name, _DRAINING if draining else _READY, started_ms)
         self._store(name, record)
-        self.table.apply({name: record}, self.revision)
+        self.table.apply_changes({name: record}, self.revision)
         self.newest[name] = max(self.newest.get(name, 0), started_ms)
         if draining:
             self.ended.add(record.id)
@@ -226,7 +226,7 @@
     @rule(name=st.sampled_from("uv"))
     def remove(self, name: str) -> None:
         self._store(name, None)
-        self.table.apply({name: None}, self.revision)
+        self.table.apply_changes({name: None}, self.revision)
 
     @rule(back=st.integers(0, 5))
     def replace_list(self, back: int) -> None:
@@ -239,7 +239,7 @@
         upstream_id = _record(name, started_ms=started_ms).id
         if upstream_id in self.table.records:
             self.ended.add(upstream_id)
-        self.table.mark_gone(upstream_id)
+        self.table.mark_draining(upstream_id)
 
     @invariant()
     def no_ended_or_older_lifetime_is_ready(self) -> None:
@@ -284,8 +284,8 @@
         revision, expected = case
         table = UpstreamTable()
         table.replace([self._record("a"), self._record("b")], 3)
-        table.apply({"a": None, "c": self._record("c"), "d": self._record("d")}, 5)
-        table.apply({"c": None}, 7)
+        table.apply_changes({"a": None, "c": self._record("c"), "d": self._record("d")}, 5)
+        table.apply_changes({"c": None}, 7)
         self.assertEqual(expected, self._changes_since(table, revision))
 
     @cases(
@@ -302,14 +302,14 @@
         revision, known, expected = case
         table = UpstreamTable()
         table.replace([self._record("a"), self._record("c")], 6)
-        table.apply({"c": None}, 7)
+        table.apply_changes({"c": None}, 7)
         table.replace([self._record("a"), self._record("d")], revision)
         self.assertEqual(expected, self._changes_since(table, known))
 
     def test_changes_include_a_removal_after_the_same_list_was_read_again(self) -> None:
         table = UpstreamTable()
         table.replace([self._record("a"), self._record("c")], 6)
-        table.drop(["c"])
+        table.remove(["c"])
         table.replace([self._record("a")], 6)
         self.assertEqual({"c": None}, self._changes_since(table, 6))
 
@@ -329,7 +329,7 @@
         table.replace([old], 18)
         table.replace([replace(old, state=UpstreamState.DRAINING) for _ in names], 20)
         new = self._record("x", started_ms=2_000)
-        table.apply({"x": replace(new, revision=19)}, 20)
+        table.apply_changes({"x": replace(new, revision=19)}, 20)
         self.assertEqual(expected, bool(table.ready("s")))
 
     def _changes_since(self, table: UpstreamTable, known: int) -> dict[str, str | None] | None:
@@ -346,7 +346,7 @@
         for revision in range(2, 1500):
             name = f"u{rng.randrange(60)}"
             record = self._record(name, revision) if rng.random() < 0.6 else None
-            reader.apply({name: record}, revision)
+            reader.apply_changes({name: record}, revision)
             if rng.random() > (0.02 if revision % 600 < 450 else 0.5):
                 continue
             changes = reader.changes_since(follower.revision)
@@ -354,6 +354,6 @@
                 complete_lists += 1
                 follower.replace(list(reader), reader.revision)
             else:
-                follower.apply(changes, reader.revision)
+                follower.apply_changes(changes, reader.revision)
             self.assertEqual(reader.records, follower.records)
         self.assertLess(complete_lists, 4)
