--- a/src/egretrail/cluster/_config_chunks.py
+++ b/src/egretrail/cluster/_config_chunks.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartedConfig:
+class ChunkedConfig:
     """One version of the configuration with its chunks."""
 
     #: The complete configuration.
@@ -66,13 +66,13 @@
     #: The packed version and limits of the configuration.
     head: bytes
     #: The chunks, one for each chunk number.
-    parts: tuple[ConfigChunk, ...]
+    chunks: tuple[ConfigChunk, ...]
     #: The digest of the head and of all chunks. Instances with the same digest have the same
     #: configuration.
     digest: int
 
     @classmethod
-    def from_chunks(cls, head: bytes, chunks: Sequence[ConfigChunk]) -> "PartedConfig":
+    def from_chunks(cls, head: bytes, chunks: Sequence[ConfigChunk]) -> "ChunkedConfig":
         """Build a configuration from chunks; raises one of ``MALFORMED`` for an invalid head."""
         unpacked = unpack_head(head)
         contents = [chunk.contents for chunk in chunks]
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigOutline:
+class ConfigManifest:
     """The digests of a configuration's chunks, from which a peer learns which chunks it lacks."""
 
     #: The packed version and limits of the configuration.
@@ -101,9 +101,9 @@
     #: The digest of the configuration.
     digest: int
     #: The digest of the base configuration; 0 for a configuration whose chunks are all empty.
-    base: int
+    base_digest: int
     #: The digests of the chunks that differ from the base, by chunk number.
-    changed: Mapping[int, int]
+    changed_chunks: Mapping[int, int]
 
     @property
     def version(self) -> int:
@@ -125,9 +125,9 @@
 _EMPTY_DIGESTS = array("Q", [EMPTY_CHUNK.digest] * CHUNK_COUNT)
 
 
-def part_config(
-    config: FleetConfig, before: PartedConfig | None = None
-) -> Generator[None, None, PartedConfig]:
+def split_config(
+    config: FleetConfig, before: ChunkedConfig | None = None
+) -> Generator[None, None, ChunkedConfig]:
     """Split a configuration into chunks, in slices of work that are separated by ``yield``.
 
     The caller may do other work at each ``yield``. Splitting 4,000 routes in one go blocks the
@@ -151,14 +151,14 @@
     for number in range(CHUNK_COUNT):
         if number % _CHUNKS_PER_SLICE == _CHUNKS_PER_SLICE - 1:
             yield
-        previous = before.parts[number] if before is not None else EMPTY_CHUNK
+        previous = before.chunks[number] if before is not None else EMPTY_CHUNK
         chunks.append(_make_chunk(services[number], routes[number], accounts[number], previous))
     yield
     head = ConfigHead(config.version, config.limits, config.accounts is not None)
-    return PartedConfig.from_chunks(pack_head(head), chunks)
+    return ChunkedConfig.from_chunks(pack_head(head), chunks)
 
 
-def at_once(work: Generator[None, None, T]) -> T:
+def run_to_completion(work: Generator[None, None, T]) -> T:
     """Run a generator to its end without yielding to other work, and return its result."""
     while True:
         try:
@@ -169,33 +169,33 @@
 
 
 @dataclass(slots=True)
-class KnownOutlines:
+class ManifestHistory:
     """The chunk digests of an instance's recent configurations, by the configuration's digest."""
 
     _digests: OrderedDict[int, "array[int]"] = field(default_factory=OrderedDict)
 
-    def remember(self, chunked_config: PartedConfig) -> None:
+    def record(self, chunked_config: ChunkedConfig) -> None:
         """Record a configuration. Peers may still have it when it is no longer in force here."""
-        digests = array("Q", [chunk.digest for chunk in chunked_config.parts])
+        digests = array("Q", [chunk.digest for chunk in chunked_config.chunks])
         self._digests[chunked_config.digest] = digests
         while len(self._digests) > _HISTORY_MAX:
             self._digests.popitem(last=False)
 
-    def outline(self, chunked_config: PartedConfig, base: int) -> ConfigOutline:
+    def manifest(self, chunked_config: ChunkedConfig, base: int) -> ConfigManifest:
         """Return the manifest relative to the configuration with the digest ``base``."""
         known = self._digests.get(base)
         base_digests = _EMPTY_DIGESTS if known is None else known
         changed = {
             number: chunk.digest
-            for number, chunk in enumerate(chunked_config.parts)
+            for number, chunk in enumerate(chunked_config.chunks)
             if chunk.digest != base_digests[number]
         }
         base_digest = 0 if known is None else base
-        return ConfigOutline(chunked_config.head, chunked_config.digest, base_digest, changed)
+        return ConfigManifest(chunked_config.head, chunked_config.digest, base_digest, changed)
 
 
 @dataclass(slots=True)
-class PartsCollection:
+class ChunkCollection:
     """Received chunks of newer configurations, until one configuration is complete.
 
     Versions may follow each other faster than a weak link can transfer one. Received chunks are
@@ -209,16 +209,16 @@
         """Add a received chunk."""
         self._received[chunk.digest] = chunk
 
-    def lacking(self, manifest: ConfigOutline, own: PartedConfig | None) -> Mapping[int, int]:
+    def missing(self, manifest: ConfigManifest, own: ChunkedConfig | None) -> Mapping[int, int]:
         """Return the digests of the chunks that a configuration still lacks, by chunk number."""
         digests = _digests_of(manifest, own)
         return {
             number: digest
-            for number, digest in manifest.changed.items()
+            for number, digest in manifest.changed_chunks.items()
             if self._find_chunk(number, digests[number], own) is None
         }
 
-    def join(self, manifest: ConfigOutline, own: PartedConfig | None) -> PartedConfig | None:
+    def assemble(self, manifest: ConfigManifest, own: ChunkedConfig | None) -> ChunkedConfig | None:
         """Return the complete, verified configuration; None when a chunk is missing or wrong."""
         chunks = []
         for number, digest in enumerate(_digests_of(manifest, own)):
@@ -226,12 +226,12 @@
             if chunk is None:
                 return None
             chunks.append(chunk)
-        assembled = PartedConfig.from_chunks(manifest.head, chunks)
+        assembled = ChunkedConfig.from_chunks(manifest.head, chunks)
         return assembled if assembled.digest == manifest.digest else None
 
-    def keep_only(self, manifest: ConfigOutline) -> None:
+    def discard_unreferenced(self, manifest: ConfigManifest) -> None:
         """Discard the chunks that a manifest does not name: their versions were superseded."""
-        referenced = set(manifest.changed.values())
+        referenced = set(manifest.changed_chunks.values())
         for digest in [digest for digest in self._received if digest not in referenced]:
             del self._received[digest]
 
@@ -239,21 +239,23 @@
         """Discard all chunks: a configuration was assembled."""
         self._received.clear()
 
-    def _find_chunk(self, number: int, digest: int, own: PartedConfig | None) -> ConfigChunk | None:
+    def _find_chunk(
+        self, number: int, digest: int, own: ChunkedConfig | None
+    ) -> ConfigChunk | None:
         if digest == EMPTY_CHUNK.digest:
             return EMPTY_CHUNK
-        if own is not None and own.parts[number].digest == digest:
-            return own.parts[number]
+        if own is not None and own.chunks[number].digest == digest:
+            return own.chunks[number]
         return self._received.get(digest)
 
 
-def _digests_of(manifest: ConfigOutline, own: PartedConfig | None) -> Sequence[int]:
+def _digests_of(manifest: ConfigManifest, own: ChunkedConfig | None) -> Sequence[int]:
     """Return the digests of all chunks of a manifest's configuration, by chunk number."""
     base_digests: Sequence[int] = _EMPTY_DIGESTS
-    if manifest.base and own is not None and own.digest == manifest.base:
-        base_digests = [chunk.digest for chunk in own.parts]
+    if manifest.base_digest and own is not None and own.digest == manifest.base_digest:
+        base_digests = [chunk.digest for chunk in own.chunks]
     digests = list(base_digests)
-    for number, digest in manifest.changed.items():
+    for number, digest in manifest.changed_chunks.items():
         digests[number] = digest
     return digests
 
--- a/src/egretrail/cluster/_config_freshness.py
+++ b/src/egretrail/cluster/_config_freshness.py
@@ -35,7 +35,7 @@
 
     _sent: OrderedDict[int, float] = field(default_factory=OrderedDict)
 
-    def sent(self, sequence: int, now_s: float) -> None:
+    def record(self, sequence: int, now_s: float) -> None:
         """Record when a message was sent."""
         self._sent[sequence] = now_s
         if len(self._sent) > _SENT_MAX:
@@ -46,7 +46,7 @@
         return self._sent.get(sequence)
 
 
-class ConfigProof:
+class ConfigFreshness:
     """The last moment at which the configuration in force is confirmed to have been the newest."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -59,6 +59,6 @@
         """Seconds since that moment; infinite before the first confirmation."""
         return self.clock() - self._confirmed_s
 
-    def proved(self, at_s: float) -> None:
+    def confirm_current_at(self, at_s: float) -> None:
         """Record that no newer configuration existed at a moment."""
         self._confirmed_s = max(self._confirmed_s, at_s)
--- a/src/egretrail/cluster/_datagrams.py
+++ b/src/egretrail/cluster/_datagrams.py
@@ -9,7 +9,7 @@
 import msgpack
 from result import Err, Ok, Result
 
-from egretrail.cluster._heartbeat import Beat, DropReport, Finding, LossReport
+from egretrail.cluster._heartbeat import DropReport, Heartbeat, LossReport, OutcomeReport
 from egretrail.cluster._instance import Instance, InstanceState
 from egretrail.cluster._malformed import MALFORMED, MalformedMessage
 from egretrail.cluster._section import Section
@@ -61,13 +61,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BeatsDatagram:
+class HeartbeatsDatagram:
     """Heartbeats that are sent to the hub of a zone, or to an instance that may know the hub."""
 
     #: How many instances passed them on.
     hops: int
     #: The heartbeats.
-    beats: Sequence[Beat]
+    heartbeats: Sequence[Heartbeat]
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
     """Sections of one or more hubs."""
 
     #: Whether the sections go to the hub of another zone instead of the instances of a zone.
-    across: bool
+    is_cross_zone: bool
     #: How many instances passed them on.
     hops: int
     #: The sections in their packed form, which is relayed unchanged.
@@ -98,18 +98,18 @@
     instances: Sequence[Instance]
 
 
-Datagram = BeatsDatagram | SectionsDatagram | Introduction
+Datagram = HeartbeatsDatagram | SectionsDatagram | Introduction
 
 
-def encode_beats(datagram: BeatsDatagram) -> bytes:
+def encode_heartbeats(datagram: HeartbeatsDatagram) -> bytes:
     """Return the packed form of heartbeats; few at a time, since each takes some hundred bytes."""
-    rows = [_heartbeat_row(heartbeat) for heartbeat in datagram.beats]
+    rows = [_heartbeat_row(heartbeat) for heartbeat in datagram.heartbeats]
     packed: bytes = msgpack.packb([_VERSION, int(_Kind.HEARTBEATS), datagram.hops, rows])
     return packed
 
 
 def encode_sections(
-    sections: Sequence[Section], passed_on: Sequence[bytes] = (), *, across: bool
+    sections: Sequence[Section], passed_on: Sequence[bytes] = (), *, cross_zone: bool
 ) -> Iterator[bytes]:
     """Yield datagrams with sections, followed by sections of other hubs in their packed form.
 
@@ -119,17 +119,19 @@
     size_bytes = 0
     for encoded in [*map(encode_section, sections), *passed_on]:
         if batch and size_bytes + len(encoded) > DATAGRAM_BYTES_MAX:
-            yield _sections_datagram(batch, cross_zone=across, hops=0)
+            yield _sections_datagram(batch, cross_zone=cross_zone, hops=0)
             batch, size_bytes = [], 0
         batch.append(encoded)
         size_bytes += len(encoded)
     if batch:
-        yield _sections_datagram(batch, cross_zone=across, hops=0)
+        yield _sections_datagram(batch, cross_zone=cross_zone, hops=0)
 
 
-def encode_passed_on(datagram: SectionsDatagram) -> bytes:
+def encode_relayed(datagram: SectionsDatagram) -> bytes:
     """Return the form in which an instance relays a datagram of sections."""
-    return _sections_datagram(datagram.encoded, cross_zone=datagram.across, hops=datagram.hops + 1)
+    return _sections_datagram(
+        datagram.encoded, cross_zone=datagram.is_cross_zone, hops=datagram.hops + 1
+    )
 
 
 def _sections_datagram(encoded: Sequence[bytes], *, cross_zone: bool, hops: int) -> bytes:
@@ -172,7 +174,7 @@
 
 def _decode_payload(kind: _Kind, hops: int, payload: Any) -> Datagram:
     if kind is _Kind.HEARTBEATS:
-        return BeatsDatagram(hops, [_decode_heartbeat(row) for row in payload])
+        return HeartbeatsDatagram(hops, [_decode_heartbeat(row) for row in payload])
     if kind is _Kind.INTRODUCTION:
         return _decode_introduction(payload)
     sections = [decode_section(encoded) for encoded in payload]
@@ -200,7 +202,7 @@
     return decompressed
 
 
-def _heartbeat_row(heartbeat: Beat) -> list[Any]:
+def _heartbeat_row(heartbeat: Heartbeat) -> list[Any]:
     return [
         heartbeat.origin,
         heartbeat.availability_zone,
@@ -212,16 +214,16 @@
         heartbeat.upstreams_revision,
         heartbeat.store_contact,
         dict(heartbeat.loads),
-        heartbeat.first_finding,
-        [_outcome_row(report) for report in heartbeat.findings],
+        heartbeat.first_outcome,
+        [_outcome_row(report) for report in heartbeat.outcomes],
         [[loss.digest, loss.upstream_key] for loss in heartbeat.losses],
-        _retry_counts_row(heartbeat.repeats),
-        [_outcome_row(report) for report in heartbeat.routine],
+        _retry_counts_row(heartbeat.retries),
+        [_outcome_row(report) for report in heartbeat.successes],
         [[drop.upstream_id, drop.revision] for drop in heartbeat.dropped],
-        _retry_counts_row(heartbeat.told_repeats),
+        _retry_counts_row(heartbeat.known_retries),
         encode_limits(heartbeat.limits),
-        encode_freshness_age(heartbeat.config_proof_age_s),
-        None if heartbeat.heard is None else encode_echo(heartbeat.heard),
+        encode_freshness_age(heartbeat.config_freshness_age_s),
+        None if heartbeat.last_section is None else encode_echo(heartbeat.last_section),
         encode_accounts(heartbeat.accounts),
     ]
 
@@ -237,14 +239,14 @@
     return {str(service): RetryCounts(int(a), int(b)) for service, (a, b) in row.items()}
 
 
-def _outcome_row(report: Finding) -> list[int]:
+def _outcome_row(report: OutcomeReport) -> list[int]:
     """Return the row of an outcome report, without the observer: the heartbeat's origin."""
     return [report.upstream_key, int(report.outcome), round(report.duration_s * 1000)]
 
 
-def _decode_outcome(row: Sequence[Any], observer: str) -> Finding:
+def _decode_outcome(row: Sequence[Any], observer: str) -> OutcomeReport:
     upstream_key, outcome, duration_ms = row
-    return Finding(decode_key(upstream_key), Outcome(outcome), duration_ms / 1000, observer)
+    return OutcomeReport(decode_key(upstream_key), Outcome(outcome), duration_ms / 1000, observer)
 
 
 def _decode_digest(value: Any) -> RequestDigest:
@@ -261,12 +263,12 @@
     return capacity
 
 
-def _decode_heartbeat(row: Sequence[Any]) -> Beat:
+def _decode_heartbeat(row: Sequence[Any]) -> Heartbeat:
     origin = str(row[0])
     # The hub packs these values into fixed widths: an invalid value would fail its sections for the
     # whole zone.
     address_number(origin)
-    return Beat(
+    return Heartbeat(
         origin=origin,
         availability_zone=str(row[1]),
         incarnation=int(row[2]),
@@ -277,15 +279,15 @@
         upstreams_revision=int(row[7]),
         store_contact=bool(row[8]),
         loads={decode_key(key): max(int(count), 0) for key, count in row[9].items()},
-        first_finding=int(row[10]),
-        findings=[_decode_outcome(entry, origin) for entry in row[11]],
+        first_outcome=int(row[10]),
+        outcomes=[_decode_outcome(entry, origin) for entry in row[11]],
         losses=[LossReport(_decode_digest(digest), decode_key(key)) for digest, key in row[12]],
-        repeats=_decode_retry_counts(row[13]),
-        routine=[_decode_outcome(entry, origin) for entry in row[14]],
+        retries=_decode_retry_counts(row[13]),
+        successes=[_decode_outcome(entry, origin) for entry in row[14]],
         dropped=[DropReport(str(name), int(revision)) for name, revision in row[15]],
-        told_repeats=_decode_retry_counts(row[16]),
+        known_retries=_decode_retry_counts(row[16]),
         limits=decode_limits(row[17]),
-        config_proof_age_s=decode_freshness_age(row[18]),
-        heard=None if row[19] is None else decode_echo(row[19]),
+        config_freshness_age_s=decode_freshness_age(row[18]),
+        last_section=None if row[19] is None else decode_echo(row[19]),
         accounts=decode_accounts(row[20]),
     )
--- a/src/egretrail/cluster/_fetch_codec.py
+++ b/src/egretrail/cluster/_fetch_codec.py
@@ -8,7 +8,7 @@
 import msgpack
 from result import Err, Ok, Result
 
-from egretrail.cluster._config_chunks import CHUNK_COUNT, ConfigChunk, ConfigOutline
+from egretrail.cluster._config_chunks import CHUNK_COUNT, ConfigChunk, ConfigManifest
 from egretrail.cluster._malformed import MALFORMED, MalformedMessage
 from egretrail.dispatch import SuspicionRecord
 from egretrail.traffic import UpstreamRecord, UpstreamState
@@ -27,13 +27,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamsQuestion:
+class FetchUpstreams:
     """Requests the upstreams that changed after a revision."""
 
     #: The requester's revision of the upstreams; 0 to request all upstreams.
     revision: int
     #: Whether to include the suspicions about upstreams, for a requester that has just started.
-    with_doubts: bool = False
+    with_suspicions: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,21 +46,21 @@
     #: set.
     upstreams: Sequence[UpstreamRecord] | None
     #: The suspicions about upstreams, if they were requested.
-    doubts: Sequence[SuspicionRecord] = ()
+    suspicions: Sequence[SuspicionRecord] = ()
     #: The upstreams that changed since the requester's revision, by name; None for an upstream that
     #: is no longer listed.
     changes: Mapping[str, UpstreamRecord | None] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class OutlineQuestion:
+class FetchManifest:
     """Requests the manifest of a peer's configuration."""
 
     #: The digest of the requester's configuration; 0 for none.
-    base: int
+    base_digest: int
     #: The requester's address: once it has the complete configuration, others may be referred to
     #: it.
-    asker: str = ""
+    requester: str = ""
     #: Whether the requester is a hub, for which the instances of its zone wait.
     is_hub: bool = False
 
@@ -74,31 +74,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartsQuestion:
+class FetchChunks:
     """Requests chunks of a peer's configuration."""
 
     #: The digests of the requested chunks, by chunk number.
     wanted: Mapping[int, int]
 
 
-Question = UpstreamsQuestion | OutlineQuestion | PartsQuestion
+FetchMessage = FetchUpstreams | FetchManifest | FetchChunks
 
 
-def encode_question(message: Question) -> bytes:
+def encode_fetch(message: FetchMessage) -> bytes:
     """Return the packed form of a fetch message."""
     document: list[Any]
     match message:
-        case UpstreamsQuestion(revision, with_suspicions):
+        case FetchUpstreams(revision, with_suspicions):
             document = [_VERSION, 0, revision, with_suspicions]
-        case OutlineQuestion(base_digest, requester, is_hub):
+        case FetchManifest(base_digest, requester, is_hub):
             document = [_VERSION, 1, base_digest, requester, is_hub]
-        case PartsQuestion(wanted):
+        case FetchChunks(wanted):
             document = [_VERSION, 2, dict(wanted)]
     packed: bytes = msgpack.packb(document)
     return packed
 
 
-def decode_question(data: bytes) -> Result[Question, MalformedMessage]:
+def decode_fetch(data: bytes) -> Result[FetchMessage, MalformedMessage]:
     """Decode a fetch message."""
     try:
         version, kind, *rest = msgpack.unpackb(data, strict_map_key=False)
@@ -106,20 +106,26 @@
             return Err(MalformedMessage(f"unsupported version {version!r}"))
         match kind, rest:
             case 0, [revision, with_suspicions]:
-                return Ok(UpstreamsQuestion(int(revision), bool(with_suspicions)))
+                return Ok(FetchUpstreams(int(revision), bool(with_suspicions)))
             case 1, [base_digest, requester, is_hub]:
-                return Ok(OutlineQuestion(int(base_digest), str(requester), bool(is_hub)))
+                return Ok(FetchManifest(int(base_digest), str(requester), bool(is_hub)))
             case 2, [wanted]:
-                return Ok(PartsQuestion(_decode_digests(wanted)))
+                return Ok(FetchChunks(_decode_digests(wanted)))
             case _:
                 return Err(MalformedMessage(f"unknown message kind {kind!r}"))
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
 
-def encode_outline(manifest: ConfigOutline) -> bytes:
+def encode_manifest(manifest: ConfigManifest) -> bytes:
     """Return the packed form of a manifest."""
-    document = [_VERSION, manifest.head, manifest.digest, manifest.base, dict(manifest.changed)]
+    document = [
+        _VERSION,
+        manifest.head,
+        manifest.digest,
+        manifest.base_digest,
+        dict(manifest.changed_chunks),
+    ]
     packed: bytes = msgpack.packb(document)
     return packed
 
@@ -130,7 +136,7 @@
     return packed
 
 
-def decode_outline(data: bytes) -> Result[ConfigOutline | Referral, MalformedMessage]:
+def decode_manifest(data: bytes) -> Result[ConfigManifest | Referral, MalformedMessage]:
     """Decode a manifest, or the referral that was sent instead."""
     try:
         version, *rest = msgpack.unpackb(data, strict_map_key=False)
@@ -140,13 +146,13 @@
             return Ok(Referral(str(rest[0])))
         head, digest, base_digest, changed = rest
         return Ok(
-            ConfigOutline(bytes(head), int(digest), int(base_digest), _decode_digests(changed))
+            ConfigManifest(bytes(head), int(digest), int(base_digest), _decode_digests(changed))
         )
     except MALFORMED as error:
         return Err(MalformedMessage(repr(error)))
 
 
-def encode_parts(chunks: Sequence[ConfigChunk]) -> bytes:
+def encode_chunks(chunks: Sequence[ConfigChunk]) -> bytes:
     """Return the packed form of as many chunks as fit into a reply, starting with the first."""
     packed_chunks: list[bytes] = []
     size_bytes = 0
@@ -158,7 +164,7 @@
     return zlib.compress(msgpack.packb([_VERSION, packed_chunks]), _COMPRESSION_LEVEL)
 
 
-def decode_parts(data: bytes) -> Result[Sequence[ConfigChunk], MalformedMessage]:
+def decode_chunks(data: bytes) -> Result[Sequence[ConfigChunk], MalformedMessage]:
     """Decode chunks."""
     try:
         decompressor = zlib.decompressobj()
@@ -180,7 +186,7 @@
         rows = [_upstream_row(record) for record in reply.upstreams]
     suspicions = [
         [suspicion.upstream_id, suspicion.age_s, suspicion.pause_s, suspicion.successes]
-        for suspicion in reply.doubts
+        for suspicion in reply.suspicions
     ]
     changes = None
     if reply.changes is not None:
--- a/src/egretrail/cluster/_heartbeat.py
+++ b/src/egretrail/cluster/_heartbeat.py
@@ -9,7 +9,7 @@
 from egretrail.dispatch import AccountReport, Outcome, RequestDigest, RetryCounts
 
 
-class Finding(NamedTuple):
+class OutcomeReport(NamedTuple):
     """The observed outcome of a request at an upstream, as instances report it to each other."""
 
     #: The key of the upstream.
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """A heartbeat with the updates of the instance since its previous heartbeats.
 
     Loads and counts are absolute. Outcome reports are numbered. Outcome reports and losses are
@@ -88,25 +88,25 @@
     #: Requests in flight, by the key of the upstream.
     loads: Mapping[int, int] = field(default_factory=dict)
     #: The number of the first entry of ``outcomes``.
-    first_finding: int = 0
+    first_outcome: int = 0
     #: Recent outcomes that bear on the health of upstreams.
-    findings: Sequence[Finding] = ()
+    outcomes: Sequence[OutcomeReport] = ()
     #: Successes of upstreams in good health since the previous heartbeat; sent once.
-    routine: Sequence[Finding] = ()
+    successes: Sequence[OutcomeReport] = ()
     #: Requests that were recently lost with the connection to their upstream.
     losses: Sequence[LossReport] = ()
     #: Upstreams that the instance dropped in the last seconds.
     dropped: Sequence[DropReport] = ()
     #: Requests and retries by service, since the start of the process.
-    repeats: Mapping[str, RetryCounts] = field(default_factory=dict)
+    retries: Mapping[str, RetryCounts] = field(default_factory=dict)
     #: The part of ``retries`` that the zone has received. A new hub counts only what exceeds this.
-    told_repeats: Mapping[str, RetryCounts] = field(default_factory=dict)
+    known_retries: Mapping[str, RetryCounts] = field(default_factory=dict)
     #: Limits that upstreams advertised or withdrew in the last seconds.
     limits: Sequence[LimitReport] = ()
     #: Seconds since the configuration was confirmed as current; None when not reported.
-    config_proof_age_s: float | None = None
+    config_freshness_age_s: float | None = None
     #: The last section received from the hub of the zone; set together with the age above.
-    heard: SectionEcho | None = None
+    last_section: SectionEcho | None = None
     #: Request counts of recently active client accounts with a quota, by the key of the account.
     accounts: Mapping[int, AccountReport] = field(default_factory=dict)
 
--- a/src/egretrail/cluster/_hub.py
+++ b/src/egretrail/cluster/_hub.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 
 from egretrail.cluster._config_freshness import SectionEcho
-from egretrail.cluster._heartbeat import Beat, Finding
+from egretrail.cluster._heartbeat import Heartbeat, OutcomeReport
 from egretrail.cluster._hub_reports import HubReports
 from egretrail.cluster._instance import Instance
-from egretrail.cluster._membership import address_part
+from egretrail.cluster._membership import roster_slice_index
 from egretrail.cluster._outcome_log import OutcomeLog
 from egretrail.cluster._section import (
     ChangedRows,
@@ -52,7 +52,7 @@
 #: A changed roster is sent at once. An unchanged one is resent after an interval in proportion to
 #: its rows, so that the bytes a second are constant. The bounds let a small roster be repaired
 #: quickly, and a large one at all.
-_ROSTER_ROW_S = {Scope.ZONE: 0.04, Scope.ACROSS: 0.07}
+_ROSTER_ROW_S = {Scope.ZONE: 0.04, Scope.CROSS_ZONE: 0.07}
 _ROSTER_INTERVAL_MIN_S, _ROSTER_INTERVAL_MAX_S = 1.0, 5.0
 #: Maximum instances in one slice of the roster.
 _ROSTER_SLICE_ROWS = 64
@@ -73,9 +73,9 @@
     #: The store's revision up to which the hub knows the upstreams; 0 for none.
     upstreams_revision: int
     #: Seconds since the configuration was confirmed as current; None when not reported.
-    config_proof_age_s: float | None = field(default=None, compare=False)
+    config_freshness_age_s: float | None = field(default=None, compare=False)
     #: The last sections received from the hubs of other zones.
-    heard: Sequence[SectionEcho] = field(default=(), compare=False)
+    received_sections: Sequence[SectionEcho] = field(default=(), compare=False)
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
     """An instance of the zone, as described by its last heartbeat."""
 
     #: The last heartbeat.
-    heartbeat: Beat
+    heartbeat: Heartbeat
     #: When the last heartbeat was received.
     received_s: float
     #: The index in the acknowledgements.
@@ -123,7 +123,7 @@
         self._incarnation = incarnation
         self._started_s = now_s
         self._members: dict[str, _Member] = {}
-        self._sequences = {Scope.ZONE: 0, Scope.ACROSS: 0}
+        self._sequences = {Scope.ZONE: 0, Scope.CROSS_ZONE: 0}
         #: For each scope, the state of the hub's instance in its last section, and whether any
         #: instance of the zone was in contact with the store.
         self._sent_states: dict[Scope, tuple[HubState, bool]] = {}
@@ -144,16 +144,16 @@
         self._free_indexes: list[tuple[int, float]] = []
         self._index_count = 0
 
-    def hear(self, heartbeat: Beat, now_s: float, *, direct: bool) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now_s: float, *, direct: bool) -> bool:
         """Apply a heartbeat of the zone; return whether the zone needs the update at once."""
         member = self._members.get(heartbeat.origin)
         if member is None:
             member = _Member(
-                heartbeat, now_s, self._allocate_index(now_s), direct, heartbeat.first_finding
+                heartbeat, now_s, self._allocate_index(now_s), direct, heartbeat.first_outcome
             )
             self._members[heartbeat.origin] = member
             self._replace_loads({}, heartbeat.loads)
-            self._add_retries(heartbeat.told_repeats, heartbeat.repeats)
+            self._add_retries(heartbeat.known_retries, heartbeat.retries)
             urgent = self._mark_roster_changed()
         elif not _is_newer(heartbeat, member.heartbeat):
             return False
@@ -165,7 +165,7 @@
         self._add_accounts(member, heartbeat, now_s)
         return self._record_reports(member, heartbeat, now_s) or urgent
 
-    def expire(self, now_s: float) -> Sequence[Instance]:
+    def remove_silent(self, now_s: float) -> Sequence[Instance]:
         """Remove and return the members whose last heartbeat is too old."""
         removed = [
             member
@@ -179,7 +179,7 @@
             self._mark_roster_changed()
         return [member.heartbeat.instance() for member in removed]
 
-    def postpone(self, pause_s: float) -> None:
+    def extend_deadlines(self, pause_s: float) -> None:
         """Extend the deadlines of all members by the time in which this process was paused."""
         for member in self._members.values():
             member.received_s += pause_s
@@ -200,13 +200,13 @@
         """Return the number of upstreams with requests of the zone in flight."""
         return len(self._loads)
 
-    def tell_roster(self) -> None:
+    def schedule_roster(self) -> None:
         """Send the roster of the zone with the next sections."""
         self._roster_sends_left = dict.fromkeys(Scope, _ROSTER_SEND_COUNT)
 
-    def repeats_findings(self) -> bool:
+    def has_outcomes_to_resend(self) -> bool:
         """Return whether outcome reports are to be resent to other zones soon."""
-        return not self._outcome_logs[Scope.ACROSS].is_empty
+        return not self._outcome_logs[Scope.CROSS_ZONE].is_empty
 
     def zone_sections(self, state: HubState, now_s: float) -> Iterator[Section]:
         """Yield the periodic sections for the zone."""
@@ -218,7 +218,7 @@
             changed=self._drain_changed(),
             loads=self._make_load_slice(self._load_slice_index, _LOAD_SLICES),
             refusals=self._drain_refusals(Scope.ZONE),
-            repeats=dict(self._retries),
+            retries=dict(self._retries),
             accounts=self._accounts_to_send(Scope.ZONE, now_s),
             **self._report_fields(Scope.ZONE, now_s),
         )
@@ -238,64 +238,64 @@
             counts: dict[str, object] = {}
             if with_accounts:
                 counts["accounts"] = self._accounts_to_send(scope, now_s)
-                counts["repeats"] = dict(self._retries)
+                counts["retries"] = dict(self._retries)
             yield self._section(scope, state, **counts, **report_fields)
         yield from self._roster_sections(scope, state, now_s)
 
-    def across_sections(self, state: HubState, now_s: float) -> Iterator[Section]:
+    def cross_zone_sections(self, state: HubState, now_s: float) -> Iterator[Section]:
         """Yield the periodic sections for the hubs of other zones."""
         slices = -(-len(self._loads) // _LOADS_MAX) or 1
         yield self._section(
-            Scope.ACROSS,
+            Scope.CROSS_ZONE,
             state,
             loads=self._make_load_slice(0, slices),
-            refusals=self._drain_refusals(Scope.ACROSS),
-            repeats=dict(self._retries),
-            accounts=self._accounts_to_send(Scope.ACROSS, now_s),
-            **self._report_fields(Scope.ACROSS, now_s),
+            refusals=self._drain_refusals(Scope.CROSS_ZONE),
+            retries=dict(self._retries),
+            accounts=self._accounts_to_send(Scope.CROSS_ZONE, now_s),
+            **self._report_fields(Scope.CROSS_ZONE, now_s),
         )
         for index in range(1, slices):
-            yield self._section(Scope.ACROSS, state, loads=self._make_load_slice(index, slices))
-        yield from self._roster_sections(Scope.ACROSS, state, now_s)
+            yield self._section(Scope.CROSS_ZONE, state, loads=self._make_load_slice(index, slices))
+        yield from self._roster_sections(Scope.CROSS_ZONE, state, now_s)
 
     def _report_fields(self, scope: Scope, now_s: float) -> Mapping[str, object]:
         """Return the fields of a section that bear on the health of upstreams."""
         first, outcomes = self._outcome_logs[scope].next_batch()
         return {
-            "first_finding": first if outcomes else 0,
-            "findings": outcomes,
+            "first_outcome": first if outcomes else 0,
+            "outcomes": outcomes,
             "losses": self._reports.current_losses(now_s),
             "dropped": self._reports.current_drops(now_s),
             "limits": self._reports.current_limits(now_s),
         }
 
-    def _apply_heartbeat(self, member: _Member, heartbeat: Beat) -> bool:
+    def _apply_heartbeat(self, member: _Member, heartbeat: Heartbeat) -> bool:
         """Apply a member's next heartbeat; return whether the zone needs the update at once."""
         if heartbeat.incarnation != member.heartbeat.incarnation:
-            member.next_outcome = heartbeat.first_finding
+            member.next_outcome = heartbeat.first_outcome
             member.accounts.clear()
         else:
-            self._add_retries(member.heartbeat.repeats, heartbeat.repeats)
+            self._add_retries(member.heartbeat.retries, heartbeat.retries)
         self._replace_loads(member.heartbeat.loads, heartbeat.loads)
         if heartbeat.instance() != member.heartbeat.instance():
             return self._mark_roster_changed()
         return heartbeat.store_contact != member.heartbeat.store_contact
 
-    def _record_reports(self, member: _Member, heartbeat: Beat, now_s: float) -> bool:
+    def _record_reports(self, member: _Member, heartbeat: Heartbeat, now_s: float) -> bool:
         urgent = False
-        skip = max(member.next_outcome - heartbeat.first_finding, 0)
-        for report in heartbeat.findings[skip:]:
+        skip = max(member.next_outcome - heartbeat.first_outcome, 0)
+        for report in heartbeat.outcomes[skip:]:
             urgent |= self._record_outcome(report, now_s)
         member.next_outcome = max(
-            member.next_outcome, heartbeat.first_finding + len(heartbeat.findings)
+            member.next_outcome, heartbeat.first_outcome + len(heartbeat.outcomes)
         )
-        for success in heartbeat.routine:
+        for success in heartbeat.successes:
             successes = self._successes.setdefault(success.upstream_key, _Successes())
             successes.count += 1
             successes.total_s += success.duration_s
         return self._reports.record(heartbeat, now_s) or urgent
 
-    def _record_outcome(self, report: Finding, now_s: float) -> bool:
+    def _record_outcome(self, report: OutcomeReport, now_s: float) -> bool:
         """Queue an outcome report; return whether the zone needs it at once."""
         if report.outcome is not Outcome.SHED:
             for log in self._outcome_logs.values():
@@ -320,7 +320,7 @@
                 total.retries + max(counts.retries - known.retries, 0),
             )
 
-    def _add_accounts(self, member: _Member, heartbeat: Beat, now_s: float) -> None:
+    def _add_accounts(self, member: _Member, heartbeat: Heartbeat, now_s: float) -> None:
         """Add a member's request counts of accounts since its previous heartbeat."""
         for key, report in heartbeat.accounts.items():
             before = member.accounts.get(key)
@@ -353,7 +353,7 @@
             self._changed[key] = None
 
     def _mark_roster_changed(self) -> bool:
-        self.tell_roster()
+        self.schedule_roster()
         return True
 
     def _allocate_index(self, now_s: float) -> int:
@@ -400,14 +400,14 @@
         self._roster_sends_left[scope] = max(self._roster_sends_left[scope] - 1, 0)
         members = [self._members[address] for address in sorted(self._members)]
         complete = now_s - self._started_s >= _ROSTER_SETTLE_S
-        if scope is Scope.ACROSS:
+        if scope is Scope.CROSS_ZONE:
             members = members[:_ROSTER_CROSS_ZONE_MAX]
         total = -(-len(members) // _ROSTER_SLICE_ROWS) or 1
         for index in range(total):
             in_slice = [
                 member
                 for member in members
-                if address_part(member.heartbeat.origin, total) == index
+                if roster_slice_index(member.heartbeat.origin, total) == index
             ]
             roster = RosterSlice(
                 index,
@@ -434,11 +434,11 @@
             upstreams_revision=state.upstreams_revision,
             store_readers=self.store_readers(),
             instances=len(self._members),
-            config_proof_age_s=state.config_proof_age_s,
-            heard=state.heard if scope is Scope.ACROSS else (),
+            config_freshness_age_s=state.config_freshness_age_s,
+            received_sections=state.received_sections if scope is Scope.CROSS_ZONE else (),
             **fields,  # type: ignore[arg-type]
         )
 
 
-def _is_newer(heartbeat: Beat, known: Beat) -> bool:
+def _is_newer(heartbeat: Heartbeat, known: Heartbeat) -> bool:
     return (heartbeat.incarnation, heartbeat.sequence) > (known.incarnation, known.sequence)
--- a/src/egretrail/cluster/_hub_election.py
+++ b/src/egretrail/cluster/_hub_election.py
@@ -5,7 +5,7 @@
 
 #: A hub sends ten sections a second. After this time without a section it is taken as failed or
 #: partitioned from this instance.
-HUB_SILENCE_S = 0.35
+HUB_TIMEOUT_S = 0.35
 #: The additional time that each further instance of the hub order waits for its predecessors to
 #: take over.
 _SUCCESSION_DELAY_S = 0.3
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Following:
+class HubElection:
     """Tracks the followed hub, the network path to it, and whether this instance is the hub.
 
     Hubs are killed or paused, lose one direction of their network, or are behind a saturated link.
@@ -37,43 +37,43 @@
     #: The address of this instance.
     own_address: str
     #: When this instance started.
-    since_s: float
+    started_s: float
     #: The followed hub; None before the first one.
     hub: str | None = None
     #: When a section of the followed hub was last received.
-    heard_s: float = float("-inf")
+    last_section_s: float = float("-inf")
     #: The instance to which heartbeats are sent; None while no working network path is known.
-    way: str | None = None
+    next_hop: str | None = None
     #: When the newest heartbeat that the hub acknowledged was sent, or when the hub was first
     #: followed if that is later.
     acknowledged_s: float = float("-inf")
     _direct_s: float = field(default=float("-inf"))
 
-    def accepts(self, hub: str, order: Sequence[str], now_s: float) -> bool:
+    def accepts_hub(self, hub: str, order: Sequence[str], now_s: float) -> bool:
         """Return whether to apply a hub's sections.
 
         Sections of another hub than the followed one are applied if that hub is earlier in the
         order, or if the followed hub has timed out.
         """
-        if self.hub is None or hub == self.hub or now_s - self.heard_s > HUB_SILENCE_S:
+        if self.hub is None or hub == self.hub or now_s - self.last_section_s > HUB_TIMEOUT_S:
             return True
         return _rank(hub, order) < _rank(self.hub, order)
 
-    def heard(self, hub: str, sender: str, order: Sequence[str], now_s: float) -> None:
+    def record_section(self, hub: str, sender: str, order: Sequence[str], now_s: float) -> None:
         """Record that a section of an accepted hub was received from ``sender``."""
         if hub != self.hub:
             self.hub = hub
-            self.way = None
+            self.next_hop = None
             self.acknowledged_s = now_s
-        self.heard_s = now_s
-        if self.way is None or sender == self._preferred_next_hop(order):
-            self.way = sender
+        self.last_section_s = now_s
+        if self.next_hop is None or sender == self._preferred_next_hop(order):
+            self.next_hop = sender
 
-    def acknowledged(self, sent_s: float) -> None:
+    def record_acknowledgement(self, sent_s: float) -> None:
         """Record that the hub acknowledged the heartbeat that was sent at ``sent_s``."""
         self.acknowledged_s = max(self.acknowledged_s, sent_s)
 
-    def acts(self, order: Sequence[str], now_s: float) -> bool:
+    def is_hub(self, order: Sequence[str], now_s: float) -> bool:
         """Return whether this instance is the hub of its zone now."""
         if self.own_address not in order:
             return False
@@ -81,27 +81,29 @@
         if rank == 0:
             return True
         follows_predecessor = self.hub is not None and _rank(self.hub, order) < rank
-        silence_s = now_s - max(self.heard_s if follows_predecessor else self.since_s, self.since_s)
-        return silence_s > HUB_SILENCE_S + _SUCCESSION_DELAY_S * min(
+        silence_s = now_s - max(
+            self.last_section_s if follows_predecessor else self.started_s, self.started_s
+        )
+        return silence_s > HUB_TIMEOUT_S + _SUCCESSION_DELAY_S * min(
             rank - 1, _SUCCESSION_STEPS_MAX
         )
 
-    def targets(self, order: Sequence[str], now_s: float) -> Sequence[str]:
+    def heartbeat_targets(self, order: Sequence[str], now_s: float) -> Sequence[str]:
         """Return the instances to which the next heartbeat is sent."""
         others = [address for address in order if address != self.own_address]
         healthy = (
-            self.way is not None
-            and now_s - self.heard_s <= HUB_SILENCE_S
+            self.next_hop is not None
+            and now_s - self.last_section_s <= HUB_TIMEOUT_S
             and now_s - self.acknowledged_s <= _ACK_TIMEOUT_S
         )
-        if not healthy or self.way is None:
-            self.way = None
+        if not healthy or self.next_hop is None:
+            self.next_hop = None
             return others[:_FALLBACK_TARGETS]
         preferred = self._preferred_next_hop(order)
-        if self.way == preferred or now_s - self._direct_s < _DIRECT_INTERVAL_S:
-            return [self.way]
+        if self.next_hop == preferred or now_s - self._direct_s < _DIRECT_INTERVAL_S:
+            return [self.next_hop]
         self._direct_s = now_s
-        return [self.way, preferred]
+        return [self.next_hop, preferred]
 
     def _preferred_next_hop(self, order: Sequence[str]) -> str:
         """Return the next hop to the hub while all network paths work."""
--- a/src/egretrail/cluster/_hub_reports.py
+++ b/src/egretrail/cluster/_hub_reports.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from egretrail.cluster._heartbeat import Beat, DropReport, LimitReport, LossReport
+from egretrail.cluster._heartbeat import DropReport, Heartbeat, LimitReport, LossReport
 
 #: Maximum losses, and maximum reports of dropped upstreams, in one section.
 _SECTION_REPORTS_MAX = 16
@@ -38,7 +38,7 @@
     _limits: dict[int, _AdvertisedLimit] = field(default_factory=dict)
     _limits_offset: int = 0
 
-    def record(self, heartbeat: Beat, now_s: float) -> bool:
+    def record(self, heartbeat: Heartbeat, now_s: float) -> bool:
         """Record the reports of a heartbeat; return whether any of them is new."""
         is_new = False
         for loss in heartbeat.losses:
--- a/src/egretrail/cluster/_membership.py
+++ b/src/egretrail/cluster/_membership.py
@@ -8,7 +8,7 @@
 from egretrail.identity import rendezvous_order, rendezvous_score
 
 #: The interval of heartbeats while there are no updates.
-BEAT_INTERVAL_S = 0.25
+HEARTBEAT_INTERVAL_S = 0.25
 #: An instance whose hub received none of four heartbeats is taken as failed. It then leaves the
 #: directory's responses well before callers accumulate connect timeouts of a second.
 _HEARTBEAT_TIMEOUT_S = 1.1
@@ -64,20 +64,20 @@
         #: The deadline of the listed instances of each zone, which sections of its hub extend.
         self._zone_deadlines_s: dict[str, float] = {}
 
-    def hear(self, instance: Instance, now_s: float) -> bool:
+    def record_heartbeat(self, instance: Instance, now_s: float) -> bool:
         """Record an instance whose own heartbeat was received; return whether it was unknown."""
         if instance.address == self._own_address:
             return False
         return self._record(instance, now_s + _HEARTBEAT_TIMEOUT_S, is_listed=True)
 
-    def introduce(self, instance: Instance, now_s: float) -> bool:
+    def record_introduction(self, instance: Instance, now_s: float) -> bool:
         """Record an instance that another one introduced; return whether it was unknown."""
         known = instance.address in self._entries or instance.address == self._own_address
         if known or self._is_outdated(instance, now_s):
             return False
         return self._record(instance, now_s + _INTRODUCTION_TIMEOUT_S, is_listed=False)
 
-    def take_roster(
+    def apply_roster(
         self, availability_zone: str, roster: RosterSlice, now_s: float
     ) -> Sequence[Instance]:
         """Apply a slice of a zone's roster; return the instances that were unknown."""
@@ -92,25 +92,25 @@
             self._remove_unlisted(availability_zone, roster, listed, now_s)
         return newcomers
 
-    def keep(self, availability_zone: str, now_s: float) -> None:
+    def extend_zone(self, availability_zone: str, now_s: float) -> None:
         """Extend the deadline of a zone's listed instances, since its hub is alive."""
         self._zone_deadlines_s[availability_zone] = now_s + _LISTED_TIMEOUT_S
 
-    def expire(self, now_s: float) -> Sequence[Instance]:
+    def remove_silent(self, now_s: float) -> Sequence[Instance]:
         """Remove and return the instances whose deadline has passed."""
         removed = [entry for entry in self._entries.values() if self._deadline_s(entry) <= now_s]
         for entry in removed:
             self._remove(entry.instance, now_s)
         return [entry.instance for entry in removed]
 
-    def postpone(self, pause_s: float) -> None:
+    def extend_deadlines(self, pause_s: float) -> None:
         """Extend all deadlines by the time in which this process was paused."""
         for entry in self._entries.values():
             entry.deadline_s += pause_s
         for zone in self._zone_deadlines_s:
             self._zone_deadlines_s[zone] += pause_s
 
-    def leave(self) -> None:
+    def withdraw(self) -> None:
         """Withdraw this instance from the tasks of its zone, since it is stopping."""
         self._is_withdrawn = True
         self._orders.clear()
@@ -125,7 +125,7 @@
         """Return all living instances except this one."""
         return [entry.instance for entry in self._entries.values()]
 
-    def named(self, address: str) -> Instance | None:
+    def find_by_address(self, address: str) -> Instance | None:
         """Return the living instance with an address; None for an unknown address."""
         entry = self._entries.get(address)
         return None if entry is None else entry.instance
@@ -138,7 +138,7 @@
             if entry.instance.availability_zone == availability_zone
         ]
 
-    def strangers(self) -> Sequence[str]:
+    def unlisted_instances(self) -> Sequence[str]:
         """Return the addresses of instances of the own zone that are known by introduction only."""
         return [
             address
@@ -150,7 +150,7 @@
         """Return the zones of all living instances, including the own zone."""
         return {entry.instance.availability_zone for entry in self._entries.values()} | {self._zone}
 
-    def order(self, availability_zone: str) -> Sequence[str]:
+    def hub_order(self, availability_zone: str) -> Sequence[str]:
         """Return the hub order of a zone: the hub first, then its successors."""
         order = self._orders.get(availability_zone)
         if order is None:
@@ -165,7 +165,7 @@
 
     def own_rank(self) -> int:
         """Return the rank of this instance in the hub order of its zone; 0 is the hub."""
-        order = self.order(self._zone)
+        order = self.hub_order(self._zone)
         return order.index(self._own_address) if self._own_address in order else len(order)
 
     def size(self) -> int:
@@ -176,7 +176,7 @@
         """Return the number of living instances of the own zone, including this one."""
         return len(self.zone_instances(self._zone)) + 1
 
-    def rank_for(self, task: str, availability_zone: str) -> int:
+    def task_rank(self, task: str, availability_zone: str) -> int:
         """Return this instance's rank for a task of a zone.
 
         Instances of other zones rank after the zone's own.
@@ -211,7 +211,7 @@
         self, availability_zone: str, roster: RosterSlice, listed: set[str], now_s: float
     ) -> None:
         for instance in self.zone_instances(availability_zone):
-            in_slice = address_part(instance.address, roster.of) == roster.number
+            in_slice = roster_slice_index(instance.address, roster.total) == roster.index
             entry = self._entries[instance.address]
             if in_slice and entry.is_listed and instance.address not in listed:
                 self._remove(instance, now_s)
@@ -259,6 +259,6 @@
         return candidates
 
 
-def address_part(address: str, of: int) -> int:
+def roster_slice_index(address: str, of: int) -> int:
     """Return the index of the roster slice to which an address belongs."""
     return int(address.rpartition(".")[2]) % of
--- a/src/egretrail/cluster/_outcome_log.py
+++ b/src/egretrail/cluster/_outcome_log.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from egretrail.cluster._heartbeat import Finding
+from egretrail.cluster._heartbeat import OutcomeReport
 
 #: Messages in which each report is sent. With a datagram loss of one tenth, one in a thousand
 #: instances misses a report; with two messages, one in a hundred would.
@@ -20,7 +20,7 @@
     """A queued outcome report."""
 
     #: The report.
-    report: Finding
+    report: OutcomeReport
     #: The number of messages in which the report is still to be sent.
     sends_left: int = _SEND_COUNT
 
@@ -33,7 +33,7 @@
         #: The number of the first queued report.
         self._first = 0
 
-    def add(self, report: Finding) -> None:
+    def add(self, report: OutcomeReport) -> None:
         """Queue a report."""
         if len(self._rows) < _QUEUED_MAX:
             self._rows.append(_QueuedReport(report))
@@ -43,7 +43,7 @@
         """Whether no report is left to be sent, not even to be sent again."""
         return not self._rows
 
-    def next_batch(self) -> tuple[int, Sequence[Finding]]:
+    def next_batch(self) -> tuple[int, Sequence[OutcomeReport]]:
         """Return the reports for the next message with the number of the first of them."""
         first, batch = self._first, self._rows[:_MESSAGE_REPORTS_MAX]
         for row in batch:
--- a/src/egretrail/cluster/_outgoing_reports.py
+++ b/src/egretrail/cluster/_outgoing_reports.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
+from egretrail.cluster._heartbeat import DropReport, LimitReport, LossReport, OutcomeReport
 
 #: Outcome reports and losses are repeated in all heartbeats of this time, so that they survive a
 #: lost datagram: the next heartbeat follows within 0.25 s.
@@ -20,43 +20,43 @@
 
 
 @dataclass(slots=True)
-class OwnNews:
+class OutgoingReports:
     """The queued reports of one instance; outcome reports are numbered."""
 
-    _outcomes: deque[tuple[float, Finding]] = field(default_factory=deque)
+    _outcomes: deque[tuple[float, OutcomeReport]] = field(default_factory=deque)
     _losses: deque[tuple[float, LossReport]] = field(default_factory=deque)
     _dropped: deque[tuple[float, DropReport]] = field(default_factory=deque)
     _limits: dict[int, tuple[float, float | None]] = field(default_factory=dict)
-    _successes: list[Finding] = field(default_factory=list)
+    _successes: list[OutcomeReport] = field(default_factory=list)
     #: The number of the oldest outcome report that is still sent.
-    first_finding: int = 0
+    first_outcome: int = 0
 
-    def found(self, report: Finding, now_s: float) -> None:
+    def record_outcome(self, report: OutcomeReport, now_s: float) -> None:
         """Queue an outcome report that bears on the health of an upstream."""
         self._outcomes.append((now_s, report))
 
-    def succeeded(self, report: Finding) -> None:
+    def record_success(self, report: OutcomeReport) -> None:
         """Queue a success of an upstream in good health, which is sent once."""
         if len(self._successes) < _HEARTBEAT_REPORTS_MAX:
             self._successes.append(report)
 
-    def lost(self, report: LossReport, now_s: float) -> None:
+    def record_loss(self, report: LossReport, now_s: float) -> None:
         """Queue the report of a request that was lost with the connection to its upstream."""
         self._losses.append((now_s, report))
 
-    def dropped(self, reports: Sequence[DropReport], now_s: float) -> None:
+    def record_drops(self, reports: Sequence[DropReport], now_s: float) -> None:
         """Queue reports of upstreams that this instance dropped."""
         self._dropped.extend((now_s, report) for report in reports)
 
-    def limited(self, upstream_key: int, limit_per_s: float | None, now_s: float) -> None:
+    def record_limit(self, upstream_key: int, limit_per_s: float | None, now_s: float) -> None:
         """Queue the limit that an upstream has just advertised; None if it withdrew its limit."""
         self._limits[upstream_key] = (now_s, limit_per_s)
 
-    def forget_old(self, now_s: float) -> None:
+    def discard_expired(self, now_s: float) -> None:
         """Discard the reports that were sent for long enough."""
         while self._outcomes and self._outcomes[0][0] < now_s - _REPORT_SEND_S:
             self._outcomes.popleft()
-            self.first_finding += 1
+            self.first_outcome += 1
         while self._losses and self._losses[0][0] < now_s - _REPORT_SEND_S:
             self._losses.popleft()
         while self._dropped and self._dropped[0][0] < now_s - _DROP_SEND_S:
@@ -64,7 +64,7 @@
         for key in [key for key, (at_s, _) in self._limits.items() if at_s < now_s - _LIMIT_SEND_S]:
             del self._limits[key]
 
-    def findings(self) -> Sequence[Finding]:
+    def outcomes(self) -> Sequence[OutcomeReport]:
         """Return the outcome reports to send, oldest first."""
         return [report for _, report in self._outcomes][:_HEARTBEAT_REPORTS_MAX]
 
@@ -83,7 +83,7 @@
             for key, (at_s, limit_per_s) in list(self._limits.items())[:_HEARTBEAT_REPORTS_MAX]
         ]
 
-    def take_successes(self) -> Sequence[Finding]:
+    def drain_successes(self) -> Sequence[OutcomeReport]:
         """Remove and return the successes since the previous heartbeat."""
         drained, self._successes = self._successes, []
         return drained
--- a/src/egretrail/cluster/_section.py
+++ b/src/egretrail/cluster/_section.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from egretrail.cluster._config_freshness import SectionEcho
-from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
+from egretrail.cluster._heartbeat import DropReport, LimitReport, LossReport, OutcomeReport
 from egretrail.cluster._instance import Instance
 from egretrail.dispatch import AccountReport, RetryCounts
 
@@ -22,7 +22,7 @@
     #: The instances of the hub's own zone: changes since the previous section, ten times a second.
     ZONE = 0
     #: The hubs of the other zones, who send it to their zones: complete aggregates, twice a second.
-    ACROSS = 1
+    CROSS_ZONE = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
 
     #: The index of the slice: it holds the keys whose remainder modulo the number of slices is
     #: this.
-    number: int
+    index: int
     #: The number of slices.
-    of: int
+    total: int
     #: The upstreams of the slice that have requests in flight.
     rows: LoadRows
 
@@ -70,16 +70,16 @@
 
     #: The index of the slice: it holds the instances whose address has this remainder modulo the
     #: number of slices.
-    number: int
+    index: int
     #: The number of slices.
-    of: int
+    total: int
     #: Whether instances of the slice that are not listed have left. A new hub has not yet received
     #: heartbeats of all instances.
     complete: bool
     #: The instances.
     instances: Sequence[Instance]
     #: The index of each instance in the acknowledgements of sections.
-    places: Sequence[int]
+    ack_indexes: Sequence[int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,23 +114,23 @@
     #: The keys of upstreams that recently refused requests without executing them.
     refusals: Sequence[int] = ()
     #: The number of the first entry of ``outcomes``.
-    first_finding: int = 0
+    first_outcome: int = 0
     #: Outcomes that bear on the health of upstreams.
-    findings: Sequence[Finding] = ()
+    outcomes: Sequence[OutcomeReport] = ()
     #: Requests that were recently lost with the connection to their upstream.
     losses: Sequence[LossReport] = ()
     #: Upstreams that readers of the store dropped in the last seconds.
     dropped: Sequence[DropReport] = ()
     #: Requests and retries of the zone by service, since the hub started to count.
-    repeats: Mapping[str, RetryCounts] = field(default_factory=dict)
+    retries: Mapping[str, RetryCounts] = field(default_factory=dict)
     #: Limits that upstreams advertised or withdrew in the last seconds.
     limits: Sequence[LimitReport] = ()
     #: A slice of the zone's living instances.
     roster: RosterSlice | None = None
     #: Seconds since the hub's configuration was confirmed as current; None when not reported.
-    config_proof_age_s: float | None = None
+    config_freshness_age_s: float | None = None
     #: The last sections received from the hubs of other zones; only between zones.
-    heard: Sequence[SectionEcho] = ()
+    received_sections: Sequence[SectionEcho] = ()
     #: The zone's request counts of recently active client accounts with a quota, by the key of the
     #: account.
     accounts: Mapping[int, AccountReport] = field(default_factory=dict)
--- a/src/egretrail/cluster/_section_codec.py
+++ b/src/egretrail/cluster/_section_codec.py
@@ -10,7 +10,7 @@
 import msgpack
 
 from egretrail.cluster._config_freshness import SectionEcho
-from egretrail.cluster._heartbeat import DropReport, Finding, LimitReport, LossReport
+from egretrail.cluster._heartbeat import DropReport, LimitReport, LossReport, OutcomeReport
 from egretrail.cluster._instance import Instance, InstanceState
 from egretrail.cluster._section import (
     ChangedRows,
@@ -56,11 +56,11 @@
     return str(IPv4Address(number))
 
 
-def encode_instances(instances: Iterable[Instance], places: Sequence[int] = ()) -> bytes:
+def encode_instances(instances: Iterable[Instance], ack_indexes: Sequence[int] = ()) -> bytes:
     """Return the rows of one zone's instances, with their acknowledgement indexes if given."""
     return b"".join(
         _INSTANCE.pack(
-            places[number] if places else 0,
+            ack_indexes[number] if ack_indexes else 0,
             address_number(instance.address),
             instance.incarnation,
             instance.state,
@@ -104,15 +104,15 @@
             _encode_changed(section.changed),
             _encode_slice(section.loads),
             _pack_words(section.refusals),
-            section.first_finding,
-            _encode_outcomes(section.findings),
+            section.first_outcome,
+            _encode_outcomes(section.outcomes),
             [[loss.digest, loss.upstream_key] for loss in section.losses],
             [[drop.upstream_id, drop.revision] for drop in section.dropped],
-            {name: [counts.requests, counts.retries] for name, counts in section.repeats.items()},
+            {name: [counts.requests, counts.retries] for name, counts in section.retries.items()},
             _encode_roster(section.roster),
             encode_limits(section.limits),
-            encode_freshness_age(section.config_proof_age_s),
-            [encode_echo(echo) for echo in section.heard],
+            encode_freshness_age(section.config_freshness_age_s),
+            [encode_echo(echo) for echo in section.received_sections],
             encode_accounts(section.accounts),
         ]
     )
@@ -137,15 +137,15 @@
         changed=_decode_changed(row[10]),
         loads=_decode_slice(row[11]),
         refusals=_unpack_words(row[12]),
-        first_finding=int(row[13]),
-        findings=_decode_outcomes(row[14]),
+        first_outcome=int(row[13]),
+        outcomes=_decode_outcomes(row[14]),
         losses=[LossReport(RequestDigest(int(digest)), int(key)) for digest, key in row[15]],
         dropped=[DropReport(str(name), int(revision)) for name, revision in row[16]],
-        repeats={str(name): RetryCounts(int(a), int(b)) for name, (a, b) in row[17].items()},
+        retries={str(name): RetryCounts(int(a), int(b)) for name, (a, b) in row[17].items()},
         roster=_decode_roster(row[18], zone),
         limits=decode_limits(row[19]),
-        config_proof_age_s=decode_freshness_age(row[20]),
-        heard=[decode_echo(echo) for echo in row[21]],
+        config_freshness_age_s=decode_freshness_age(row[20]),
+        received_sections=[decode_echo(echo) for echo in row[21]],
         accounts=decode_accounts(row[22]),
     )
 
@@ -254,7 +254,7 @@
 
 
 def _encode_slice(loads: LoadSlice | None) -> list[Any] | None:
-    return None if loads is None else [loads.number, loads.of, *_encode_loads(loads.rows)]
+    return None if loads is None else [loads.index, loads.total, *_encode_loads(loads.rows)]
 
 
 def _decode_slice(fields: Sequence[Any] | None) -> LoadSlice | None:
@@ -297,7 +297,7 @@
     return ChangedRows(keys, counts, durations_s)
 
 
-def _encode_outcomes(reports: Iterable[Finding]) -> bytes:
+def _encode_outcomes(reports: Iterable[OutcomeReport]) -> bytes:
     return b"".join(
         _OUTCOME.pack(
             report.upstream_key,
@@ -309,9 +309,9 @@
     )
 
 
-def _decode_outcomes(data: bytes) -> Sequence[Finding]:
+def _decode_outcomes(data: bytes) -> Sequence[OutcomeReport]:
     return [
-        Finding(key, Outcome(outcome), duration_ms / 1000, _address(observer))
+        OutcomeReport(key, Outcome(outcome), duration_ms / 1000, _address(observer))
         for key, outcome, duration_ms, observer in _OUTCOME.iter_unpack(data)
     ]
 
@@ -319,8 +319,8 @@
 def _encode_roster(roster: RosterSlice | None) -> list[Any] | None:
     if roster is None:
         return None
-    rows = encode_instances(roster.instances, roster.places)
-    return [roster.number, roster.of, roster.complete, rows]
+    rows = encode_instances(roster.instances, roster.ack_indexes)
+    return [roster.index, roster.total, roster.complete, rows]
 
 
 def _decode_roster(fields: Sequence[Any] | None, availability_zone: str) -> RosterSlice | None:
--- a/src/egretrail/cluster/_zone_peers.py
+++ b/src/egretrail/cluster/_zone_peers.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from egretrail.cluster._heartbeat import Beat
+from egretrail.cluster._heartbeat import Heartbeat
 from egretrail.cluster._section import LoadSlice, Section
 from egretrail.dispatch import AccountReport, RetryCounts
 
@@ -26,13 +26,13 @@
     #: The loads in the heartbeat.
     loads: Mapping[int, int]
     #: The counts of requests and retries in the heartbeat.
-    repeats: Mapping[str, RetryCounts]
+    retries: Mapping[str, RetryCounts]
     #: The request counts of accounts in the heartbeat.
     accounts: Mapping[int, AccountReport]
 
 
 @dataclass(slots=True)
-class ZoneShare:
+class ZonePeers:
     """Subtracts this instance's own contribution from the aggregates of its zone.
 
     The hub acknowledges the last heartbeat that its aggregates include. The own contribution is
@@ -47,15 +47,15 @@
     _totals: Mapping[str, RetryCounts] = field(default_factory=dict)
     _peer_counts: dict[str, RetryCounts] = field(default_factory=dict)
 
-    def sent(self, heartbeat: Beat, now_s: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now_s: float) -> None:
         """Remember a sent heartbeat until it is acknowledged."""
         self._sent.append(
             _SentHeartbeat(
-                heartbeat.sequence, now_s, heartbeat.loads, heartbeat.repeats, heartbeat.accounts
+                heartbeat.sequence, now_s, heartbeat.loads, heartbeat.retries, heartbeat.accounts
             )
         )
 
-    def told_repeats(self, now_s: float) -> Mapping[str, RetryCounts]:
+    def known_retries(self, now_s: float) -> Mapping[str, RetryCounts]:
         """Return the part of this instance's counts that the zone's aggregates already include.
 
         If the last acknowledgement is too old, all counts are returned. When a hub fails, its
@@ -66,17 +66,17 @@
             self._last_acknowledged is not None
             and now_s - self._last_acknowledged.sent_s <= _COUNTS_VALID_S
         ):
-            return self._last_acknowledged.repeats
-        return self._sent[-1].repeats if self._sent else {}
+            return self._last_acknowledged.retries
+        return self._sent[-1].retries if self._sent else {}
 
-    def start_anew(self) -> None:
+    def reset(self) -> None:
         """Discard the aggregates of a hub: they are not comparable to those of another hub."""
         self._loads.clear()
         self._acknowledged = None
         self._totals = {}
         self._peer_counts = {}
 
-    def take(self, section: Section, ack_index: int | None) -> None:
+    def apply_acknowledgement(self, section: Section, ack_index: int | None) -> None:
         """Apply the acknowledgement and the retry counts of a section.
 
         ``ack_index`` is the index of this instance in the acknowledgements; None when unknown.
@@ -86,7 +86,7 @@
         previous = self._acknowledged
         if ack_index is not None and ack_index < len(section.acknowledged):
             self._acknowledge(section.acknowledged[ack_index])
-        self._add_retries(section.repeats, previous)
+        self._add_retries(section.retries, previous)
 
     @property
     def acknowledged_s(self) -> float | None:
@@ -103,7 +103,7 @@
         """This instance's request counts of accounts that the aggregates include."""
         return {} if self._acknowledged is None else self._acknowledged.accounts
 
-    def loads(self, section: Section) -> Mapping[int, int]:
+    def apply_loads(self, section: Section) -> Mapping[int, int]:
         """Apply the loads of a section; return the peers' loads at the changed upstreams.
 
         A load is the number of requests in flight at an upstream.
@@ -113,18 +113,18 @@
             self._set_load(key, count)
             changed_keys.add(key)
         if section.loads is not None:
-            changed_keys.update(replace_part(self._loads, section.loads))
+            changed_keys.update(replace_slice(self._loads, section.loads))
         return {key: self._peer_load(key) for key in changed_keys}
 
-    def own_keys(self) -> Iterable[int]:
+    def own_upstream_keys(self) -> Iterable[int]:
         """Return the keys of the upstreams for which an own load is subtracted."""
         return self._acknowledged.loads.keys() if self._acknowledged is not None else ()
 
-    def of_others(self, keys: Iterable[int]) -> Mapping[int, int]:
+    def peer_loads(self, keys: Iterable[int]) -> Mapping[int, int]:
         """Return the peers' requests in flight at some upstreams."""
         return {key: self._peer_load(key) for key in keys}
 
-    def repeats(self) -> Mapping[str, RetryCounts]:
+    def peer_retries(self) -> Mapping[str, RetryCounts]:
         """Return the requests and retries of the peers since the first section of this hub."""
         return self._peer_counts
 
@@ -169,9 +169,9 @@
         self._totals = totals
 
 
-def replace_part(loads: dict[int, int], load_slice: LoadSlice) -> set[int]:
+def replace_slice(loads: dict[int, int], load_slice: LoadSlice) -> set[int]:
     """Replace a slice of loads by its rows; return the keys whose loads may have changed."""
-    index, total = load_slice.number, load_slice.of
+    index, total = load_slice.index, load_slice.total
     replaced = {key for key in loads if key % total == index} if total > 1 else set(loads)
     rows = dict(zip(load_slice.rows.keys, load_slice.rows.counts, strict=True))
     for key in replaced - rows.keys():
@@ -186,6 +186,6 @@
     """Return this instance's counts between two acknowledged heartbeats."""
     if previous is None or now is None or previous is now:
         return RetryCounts()
-    old = previous.repeats.get(service, RetryCounts())
-    new = now.repeats.get(service, RetryCounts())
+    old = previous.retries.get(service, RetryCounts())
+    new = now.retries.get(service, RetryCounts())
     return RetryCounts(new.requests - old.requests, new.retries - old.retries)
--- a/src/egretrail/cluster/tests/messages.py
+++ b/src/egretrail/cluster/tests/messages.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from egretrail.cluster import Beat, Instance, InstanceState, Scope, Section
+from egretrail.cluster import Heartbeat, Instance, InstanceState, Scope, Section
 
 
-def heartbeat(origin: str, sequence: int = 1, **fields: Any) -> Beat:
+def heartbeat(origin: str, sequence: int = 1, **fields: Any) -> Heartbeat:
     """Return a heartbeat of an instance in zone ``a``."""
     defaults: dict[str, Any] = {
         "availability_zone": "a",
@@ -16,7 +16,7 @@
         "upstreams_revision": 40,
         "store_contact": False,
     }
-    return Beat(origin=origin, sequence=sequence, **{**defaults, **fields})
+    return Heartbeat(origin=origin, sequence=sequence, **{**defaults, **fields})
 
 
 def instance(address: str, **fields: Any) -> Instance:
--- a/src/egretrail/cluster/tests/test_cluster.py
+++ b/src/egretrail/cluster/tests/test_cluster.py
@@ -10,11 +10,13 @@
 from result import Err, Ok
 
 from egretrail.cluster import (
-    BeatsDatagram,
     ChangedRows,
-    ConfigOutline,
+    ConfigManifest,
     DropReport,
-    Finding,
+    FetchChunks,
+    FetchManifest,
+    FetchUpstreams,
+    HeartbeatsDatagram,
     Instance,
     InstanceState,
     Introduction,
@@ -23,24 +25,22 @@
     LoadSlice,
     LossReport,
     Membership,
-    OutlineQuestion,
-    PartsQuestion,
+    OutcomeReport,
     RosterSlice,
     Scope,
     Section,
     SectionsDatagram,
-    UpstreamsQuestion,
     UpstreamsReply,
+    decode_chunks,
     decode_datagram,
-    decode_outline,
-    decode_parts,
-    decode_question,
+    decode_fetch,
+    decode_manifest,
     decode_upstreams,
-    encode_beats,
+    encode_fetch,
+    encode_heartbeats,
     encode_introduction,
-    encode_outline,
-    encode_passed_on,
-    encode_question,
+    encode_manifest,
+    encode_relayed,
     encode_sections,
     encode_upstreams,
 )
@@ -49,7 +49,7 @@
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
 
-_FAILURE = Finding(77, Outcome.FAILED, 0.003, "10.0.0.2")
+_FAILURE = OutcomeReport(77, Outcome.FAILED, 0.003, "10.0.0.2")
 
 
 class HeartbeatCodecTest(EgretrailTestCase):
@@ -57,17 +57,17 @@
         sent = heartbeat(
             "10.0.0.2",
             loads={2**32 - 1: 2},
-            first_finding=9,
-            findings=[_FAILURE],
+            first_outcome=9,
+            outcomes=[_FAILURE],
             losses=[LossReport(RequestDigest(2**63 + 5), 77)],
-            repeats={"s": RetryCounts(5, 1)},
-            told_repeats={"s": RetryCounts(4, 1)},
-            routine=[Finding(78, Outcome.SUCCESS, 0.3, "10.0.0.2")],
+            retries={"s": RetryCounts(5, 1)},
+            known_retries={"s": RetryCounts(4, 1)},
+            successes=[OutcomeReport(78, Outcome.SUCCESS, 0.3, "10.0.0.2")],
             dropped=[DropReport("u3", 41)],
             limits=[LimitReport(7, 1.5, 0.25), LimitReport(8, None, 1.0)],
         )
-        decoded = decode_datagram(encode_beats(BeatsDatagram(1, [sent])))
-        self.assertEqual(Ok(BeatsDatagram(1, [sent])), decoded)
+        decoded = decode_datagram(encode_heartbeats(HeartbeatsDatagram(1, [sent])))
+        self.assertEqual(Ok(HeartbeatsDatagram(1, [sent])), decoded)
 
 
 class SectionCodecTest(EgretrailTestCase):
@@ -79,12 +79,12 @@
                 "loads": LoadSlice(3, 10, LoadRows((13, 23), bytes([1, 2]))),
                 "acknowledged": bytes(range(73)),
             },
-            "outcomes": {"first_finding": 2**40, "findings": [_FAILURE], "refusals": (5, 6)},
+            "outcomes": {"first_outcome": 2**40, "outcomes": [_FAILURE], "refusals": (5, 6)},
             "reports": {
                 "losses": [LossReport(RequestDigest(2**63 + 5), 77)],
                 "dropped": [DropReport("u3", 41)],
                 "limits": [LimitReport(7, 1.5, 0.25), LimitReport(2**32 - 1, None, 1.0)],
-                "repeats": {"s": RetryCounts(2**33, 1)},
+                "retries": {"s": RetryCounts(2**33, 1)},
             },
             "a roster": {
                 "roster": RosterSlice(
@@ -95,18 +95,18 @@
     )
     def test_section_round_trip(self, fields: Mapping[str, Any]) -> None:
         sent = section(**fields)
-        for across in (False, True):
-            [data] = encode_sections([sent], across=across)
+        for cross_zone in (False, True):
+            [data] = encode_sections([sent], cross_zone=cross_zone)
             decoded = decode_datagram(data)
             assert isinstance(decoded, Ok)
             datagram = decoded.ok_value
             assert isinstance(datagram, SectionsDatagram)
-            self.assertEqual((across, 0), (datagram.across, datagram.hops))
+            self.assertEqual((cross_zone, 0), (datagram.is_cross_zone, datagram.hops))
             [received] = datagram.sections
             for name, value in fields.items():
                 self.assertEqual(value, getattr(received, name))
-            self.assertEqual([data], list(encode_sections([received], across=across)))
-            relayed = decode_datagram(encode_passed_on(datagram))
+            self.assertEqual([data], list(encode_sections([received], cross_zone=cross_zone)))
+            relayed = decode_datagram(encode_relayed(datagram))
             assert isinstance(relayed, Ok)
             assert isinstance(relayed.ok_value, SectionsDatagram)
             self.assertEqual(
@@ -116,7 +116,7 @@
     @cases({"a millisecond": 0.001, "a typical request": 0.32, "a minute": 59.0})
     def test_durations_are_decoded_within_their_precision(self, duration_s: float) -> None:
         sent = section(changed=ChangedRows((1,), b"\x01", [duration_s]))
-        [data] = encode_sections([sent], across=False)
+        [data] = encode_sections([sent], cross_zone=False)
         decoded = decode_datagram(data)
         assert isinstance(decoded, Ok)
         assert isinstance(decoded.ok_value, SectionsDatagram)
@@ -126,7 +126,7 @@
     def test_many_sections_are_split_into_packets(self) -> None:
         rows = LoadRows(tuple(range(100)), bytes(100))
         sent = [section(sequence=n, loads=LoadSlice(0, 1, rows)) for n in range(1, 30)]
-        datagrams = list(encode_sections(sent, across=False))
+        datagrams = list(encode_sections(sent, cross_zone=False))
         self.assertLessEqual(max(map(len, datagrams)), 1400)
         seen: list[Section] = []
         for data in datagrams:
@@ -157,7 +157,7 @@
 
 def _section_datagram(position: int, value: object) -> bytes:
     """Return a datagram with one section, one field of which is replaced."""
-    [data] = encode_sections([section()], across=False)
+    [data] = encode_sections([section()], cross_zone=False)
     [encoded] = msgpack.unpackb(data)[3]
     row = msgpack.unpackb(encoded)
     row[position] = value
@@ -166,7 +166,7 @@
 
 def _heartbeat_datagram(position: int, value: object) -> bytes:
     """Return a datagram with one heartbeat, one field of which is replaced."""
-    datagram = msgpack.unpackb(encode_beats(BeatsDatagram(0, [heartbeat("10.0.0.2")])))
+    datagram = msgpack.unpackb(encode_heartbeats(HeartbeatsDatagram(0, [heartbeat("10.0.0.2")])))
     datagram[3][0][position] = value
     return bytes(msgpack.packb(datagram))
 
@@ -221,23 +221,23 @@
             UpstreamsReply(9, None, [], {"u": record, "v": None}),
         ):
             self.assertEqual(Ok(reply), decode_upstreams(encode_upstreams(reply)))
-        manifest = ConfigOutline(b"head", 2**64 - 1, 5, {0: 1, 255: 2**63})
-        self.assertEqual(Ok(manifest), decode_outline(encode_outline(manifest)))
+        manifest = ConfigManifest(b"head", 2**64 - 1, 5, {0: 1, 255: 2**63})
+        self.assertEqual(Ok(manifest), decode_manifest(encode_manifest(manifest)))
         for message in (
-            UpstreamsQuestion(9, with_doubts=True),
-            OutlineQuestion(2**64 - 1),
-            PartsQuestion({0: 1, 255: 2**63}),
+            FetchUpstreams(9, with_suspicions=True),
+            FetchManifest(2**64 - 1),
+            FetchChunks({0: 1, 255: 2**63}),
         ):
-            self.assertEqual(Ok(message), decode_question(encode_question(message)))
+            self.assertEqual(Ok(message), decode_fetch(encode_fetch(message)))
 
     @given(st.binary(max_size=200))
     @settings(max_examples=200, deadline=None, database=None)
     def test_arbitrary_bytes_are_a_typed_error(self, data: bytes) -> None:
         self.assertIsInstance(decode_datagram(data), Err)
-        self.assertIsInstance(decode_question(data), Err)
+        self.assertIsInstance(decode_fetch(data), Err)
         self.assertIsInstance(decode_upstreams(data), Err)
-        self.assertIsInstance(decode_outline(data), Err)
-        self.assertIsInstance(decode_parts(data), Err)
+        self.assertIsInstance(decode_manifest(data), Err)
+        self.assertIsInstance(decode_chunks(data), Err)
 
     @given(st.integers(0, 18), st.binary(max_size=40))
     @settings(max_examples=200, deadline=None, database=None)
@@ -252,36 +252,36 @@
             address = f"10.0.0.{number}"
             zone = "a" if number < 6 else "b"
             state = InstanceState.LEAVING if address == leaving else InstanceState.READY
-            membership.hear(instance(address, availability_zone=zone, state=state), 0.0)
+            membership.record_heartbeat(instance(address, availability_zone=zone, state=state), 0.0)
         return membership
 
     def test_a_changed_own_capacity_changes_the_order(self) -> None:
         membership = self._membership()
         changes: list[int] = []
         membership.on_change = lambda: changes.append(1)
-        hub = membership.order("a")[0]
+        hub = membership.hub_order("a")[0]
         membership.set_own_capacity(1.0)
         self.assertEqual([], changes)
         membership.set_own_capacity(10.0)
-        self.assertEqual("10.0.0.1", membership.order("a")[0])
+        self.assertEqual("10.0.0.1", membership.hub_order("a")[0])
         membership.set_own_capacity(0.1)
-        self.assertEqual("10.0.0.1", membership.order("a")[-1])
+        self.assertEqual("10.0.0.1", membership.hub_order("a")[-1])
         self.assertEqual(2, len(changes))
         membership.set_own_capacity(1.0)
-        self.assertEqual(hub, membership.order("a")[0])
+        self.assertEqual(hub, membership.hub_order("a")[0])
 
     def test_an_instance_without_heartbeats_is_removed_within_1200_ms(self) -> None:
         membership = self._membership()
-        self.assertEqual([], list(membership.expire(1.0)))
-        self.assertEqual(7, len(membership.expire(1.2)))
+        self.assertEqual([], list(membership.remove_silent(1.0)))
+        self.assertEqual(7, len(membership.remove_silent(1.2)))
 
     def test_listed_instances_stay_alive_while_their_hub_sends_sections(self) -> None:
         membership = self._membership()
         for at_s in (0.5, 1.5, 2.5):
-            membership.keep("b", at_s)
-        gone = {one.address for one in membership.expire(3.0)}
+            membership.extend_zone("b", at_s)
+        gone = {one.address for one in membership.remove_silent(3.0)}
         self.assertEqual({f"10.0.0.{n}" for n in range(2, 6)}, gone)
-        self.assertEqual(3, len(membership.expire(4.8)))
+        self.assertEqual(3, len(membership.remove_silent(4.8)))
 
     @cases(
         {
@@ -301,7 +301,7 @@
         number, of, complete, left = case
         membership = self._membership()
         listed = RosterSlice(number, of, complete, [instance("10.0.0.3")], [0])
-        membership.take_roster("a", listed, 0.1)
+        membership.apply_roster("a", listed, 0.1)
         self.assertEqual(set(left), {one.address for one in membership.zone_instances("a")})
         self.assertEqual(3, len(membership.zone_instances("b")))
 
@@ -318,19 +318,19 @@
     ) -> None:
         before, after, now_s, known = case
         membership = Membership("10.0.0.1", "a")
-        membership.hear(instance("10.0.0.2", incarnation=before), 0.0)
-        membership.expire(1.5)
-        membership.introduce(instance("10.0.0.2", incarnation=after), now_s)
-        self.assertIs(known, membership.named("10.0.0.2") is not None)
+        membership.record_heartbeat(instance("10.0.0.2", incarnation=before), 0.0)
+        membership.remove_silent(1.5)
+        membership.record_introduction(instance("10.0.0.2", incarnation=after), now_s)
+        self.assertIs(known, membership.find_by_address("10.0.0.2") is not None)
 
     def test_repeated_introductions_do_not_keep_a_failed_instance_alive(self) -> None:
         membership = Membership("10.0.0.1", "a")
-        membership.introduce(instance("10.0.0.2"), 0.0)
+        membership.record_introduction(instance("10.0.0.2"), 0.0)
         for tenth in range(1, 13):
-            membership.introduce(instance("10.0.0.2"), tenth / 10)
-        self.assertEqual(1, len(membership.expire(1.25)))
-        membership.introduce(instance("10.0.0.2"), 1.3)
-        self.assertIsNone(membership.named("10.0.0.2"))
+            membership.record_introduction(instance("10.0.0.2"), tenth / 10)
+        self.assertEqual(1, len(membership.remove_silent(1.25)))
+        membership.record_introduction(instance("10.0.0.2"), 1.3)
+        self.assertIsNone(membership.find_by_address("10.0.0.2"))
 
     def test_all_instances_agree_on_one_hub_per_zone(self) -> None:
         hubs = set()
@@ -338,30 +338,30 @@
         for own in addresses:
             membership = Membership(own, "a")
             for other in addresses:
-                membership.hear(instance(other), 0.0)
-            hubs.add(membership.order("a")[0])
+                membership.record_heartbeat(instance(other), 0.0)
+            hubs.add(membership.hub_order("a")[0])
         self.assertEqual(1, len(hubs))
 
     def test_a_leaving_instance_is_removed_from_the_hub_order(self) -> None:
-        hub = self._membership().order("b")[0]
+        hub = self._membership().hub_order("b")[0]
         membership = self._membership(leaving=hub)
-        self.assertNotIn(hub, membership.order("b"))
-        membership.leave()
-        self.assertNotIn("10.0.0.1", membership.order("a"))
+        self.assertNotIn(hub, membership.hub_order("b"))
+        membership.withdraw()
+        self.assertNotIn("10.0.0.1", membership.hub_order("a"))
 
     def test_instances_with_large_capacity_precede_others(self) -> None:
         membership = Membership("10.9.0.1", "z")
         for number in range(31):
             capacity = 2.15 if number in (7, 19) else 0.45
             one = instance(f"10.1.0.{number}", availability_zone="a", capacity=capacity)
-            membership.hear(one, 0.0)
-        self.assertEqual({"10.1.0.7", "10.1.0.19"}, set(membership.order("a")[:2]))
+            membership.record_heartbeat(one, 0.0)
+        self.assertEqual({"10.1.0.7", "10.1.0.19"}, set(membership.hub_order("a")[:2]))
 
     def test_instances_of_other_zones_rank_after_the_zones_own(self) -> None:
         membership = self._membership()
-        self.assertLess(membership.rank_for("t", "a"), 5)
-        self.assertGreaterEqual(membership.rank_for("t", "b"), 3)
-        self.assertLess(membership.rank_for("t", "nobody's"), 5)
+        self.assertLess(membership.task_rank("t", "a"), 5)
+        self.assertGreaterEqual(membership.task_rank("t", "b"), 3)
+        self.assertLess(membership.task_rank("t", "nobody's"), 5)
 
     def test_ranks_for_a_task_are_distinct(self) -> None:
         addresses = [f"10.0.0.{n}" for n in range(1, 6)]
@@ -369,16 +369,16 @@
         for own in addresses:
             membership = Membership(own, "a")
             for other in addresses:
-                membership.hear(instance(other), 0.0)
-            ranks.add(membership.rank_for("t", "a"))
+                membership.record_heartbeat(instance(other), 0.0)
+            ranks.add(membership.task_rank("t", "a"))
         self.assertEqual(set(range(5)), ranks)
 
     def test_a_pause_of_this_instance_removes_nobody(self) -> None:
         membership = self._membership()
-        membership.postpone(3.0)
-        self.assertEqual([], list(membership.expire(4.0)))
+        membership.extend_deadlines(3.0)
+        self.assertEqual([], list(membership.remove_silent(4.0)))
 
 
 class ScopeTest(EgretrailTestCase):
     def test_wire_values_are_unchanged(self) -> None:
-        self.assertEqual((0, 1), (Scope.ZONE.value, Scope.ACROSS.value))
+        self.assertEqual((0, 1), (Scope.ZONE.value, Scope.CROSS_ZONE.value))
--- a/src/egretrail/cluster/tests/test_config_chunks.py
+++ b/src/egretrail/cluster/tests/test_config_chunks.py
@@ -18,13 +18,13 @@
 from result import Err, Ok
 
 from egretrail.cluster import (
-    KnownOutlines,
-    PartedConfig,
-    PartsCollection,
-    at_once,
-    decode_parts,
-    encode_parts,
-    part_config,
+    ChunkCollection,
+    ChunkedConfig,
+    ManifestHistory,
+    decode_chunks,
+    encode_chunks,
+    run_to_completion,
+    split_config,
 )
 from egretrail.cluster._config_chunks import CHUNK_COUNT
 from egretrail.testing import EgretrailTestCase, cases
@@ -74,16 +74,19 @@
 
 
 def _fetch(
-    source: PartedConfig, known: KnownOutlines, own: PartedConfig | None, arrived: PartsCollection
-) -> PartedConfig | None:
+    source: ChunkedConfig,
+    known: ManifestHistory,
+    own: ChunkedConfig | None,
+    arrived: ChunkCollection,
+) -> ChunkedConfig | None:
     """Fetch a configuration as one peer does from another."""
-    manifest = known.outline(source, own.digest if own is not None else 0)
-    while missing := arrived.lacking(manifest, own):
-        reply = decode_parts(encode_parts([source.parts[number] for number in missing]))
+    manifest = known.manifest(source, own.digest if own is not None else 0)
+    while missing := arrived.missing(manifest, own):
+        reply = decode_chunks(encode_chunks([source.chunks[number] for number in missing]))
         assert isinstance(reply, Ok)
         for chunk in reply.ok_value:
             arrived.add(chunk)
-    return arrived.join(manifest, own)
+    return arrived.assemble(manifest, own)
 
 
 class ChunksTest(EgretrailTestCase):
@@ -112,27 +115,27 @@
         self, case: tuple[Sequence[Route], Mapping[str, object], int]
     ) -> None:
         routes, others, changed = case
-        before = at_once(part_config(_BASE))
+        before = run_to_completion(split_config(_BASE))
         config = replace(_BASE, version=2, routes=routes, **others)  # type: ignore[arg-type]
-        after = at_once(part_config(config, before))
-        known = KnownOutlines()
-        known.remember(before)
-        self.assertEqual(changed, len(known.outline(after, before.digest).changed))
+        after = run_to_completion(split_config(config, before))
+        known = ManifestHistory()
+        known.record(before)
+        self.assertEqual(changed, len(known.manifest(after, before.digest).changed_chunks))
         for own in (before, None):
-            assembled = _fetch(after, known, own, PartsCollection())
+            assembled = _fetch(after, known, own, ChunkCollection())
             assert assembled is not None
             self.assertEqual(_contents(config), _contents(assembled.config))
             self.assertEqual(after.digest, assembled.digest)
 
     def test_unchanged_chunks_are_reused(self) -> None:
-        before = at_once(part_config(_BASE))
+        before = run_to_completion(split_config(_BASE))
         routes = [_route(0, 2.0), *_BASE.routes[1:]]
-        after = at_once(part_config(replace(_BASE, version=2, routes=routes), before))
-        kept = sum(a is b for a, b in zip(after.parts, before.parts, strict=True))
+        after = run_to_completion(split_config(replace(_BASE, version=2, routes=routes), before))
+        kept = sum(a is b for a, b in zip(after.chunks, before.chunks, strict=True))
         self.assertEqual(CHUNK_COUNT - 1, kept)
 
     def test_splitting_yields_between_slices(self) -> None:
-        slices = list(part_config(_BASE))
+        slices = list(split_config(_BASE))
         self.assertGreater(len(slices), CHUNK_COUNT // 16)
 
     @cases(
@@ -142,19 +145,19 @@
         }
     )
     def test_chunks_that_do_not_match_the_manifest_are_not_assembled(self, mix: object) -> None:
-        source = at_once(part_config(_BASE))
-        manifest = KnownOutlines().outline(source, 0)
-        mixed = replace(source, parts=tuple(mix(source.parts)))  # type: ignore[operator]
-        wrong = KnownOutlines().outline(mixed, 0)
-        arrived = PartsCollection()
-        for chunk in source.parts:
+        source = run_to_completion(split_config(_BASE))
+        manifest = ManifestHistory().manifest(source, 0)
+        mixed = replace(source, chunks=tuple(mix(source.chunks)))  # type: ignore[operator]
+        wrong = ManifestHistory().manifest(mixed, 0)
+        arrived = ChunkCollection()
+        for chunk in source.chunks:
             arrived.add(chunk)
-        self.assertIsNone(arrived.join(replace(wrong, digest=manifest.digest), None))
+        self.assertIsNone(arrived.assemble(replace(wrong, digest=manifest.digest), None))
 
     def test_the_decompressed_size_of_a_reply_is_bounded(self) -> None:
-        large = at_once(part_config(_config(1, [_route(1)], "s" * 17_000_000)))
-        chunk = max(large.parts, key=lambda one: len(one.packed))
-        self.assertIsInstance(decode_parts(encode_parts([chunk])), Err)
+        large = run_to_completion(split_config(_config(1, [_route(1)], "s" * 17_000_000)))
+        chunk = max(large.chunks, key=lambda one: len(one.packed))
+        self.assertIsInstance(decode_chunks(encode_chunks([chunk])), Err)
 
 
 class _TransferMachine(RuleBasedStateMachine):
@@ -167,17 +170,17 @@
     def __init__(self) -> None:
         super().__init__()
         self._published: dict[int, FleetConfig] = {}
-        self._peers: list[tuple[PartedConfig, KnownOutlines]] = []
-        self._own: PartedConfig | None = None
-        self._arrived = PartsCollection()
+        self._peers: list[tuple[ChunkedConfig, ManifestHistory]] = []
+        self._own: ChunkedConfig | None = None
+        self._arrived = ChunkCollection()
 
     @initialize()
     def start(self) -> None:
         """Give two peers a first version."""
         first = self._publish({1, 2, 3})
         for _ in range(2):
-            known = KnownOutlines()
-            known.remember(first)
+            known = ManifestHistory()
+            known.record(first)
             self._peers.append((first, known))
 
     @rule(peer=st.integers(0, 1), numbers=st.sets(st.integers(0, 40), max_size=20))
@@ -189,8 +192,8 @@
     def restart(self, peer: int) -> None:
         """Restart a peer with the other peer's configuration and without its manifest history."""
         other = self._peers[1 - peer][0]
-        known = KnownOutlines()
-        known.remember(other)
+        known = ManifestHistory()
+        known.record(other)
         self._peers[peer] = (other, known)
 
     @rule(peer=st.integers(0, 1), arrives=st.integers(0, 12), discards=st.booleans())
@@ -199,13 +202,13 @@
         source, known = self._peers[peer]
         if self._own is not None and source.config.version <= self._own.config.version:
             return
-        manifest = known.outline(source, self._own.digest if self._own is not None else 0)
+        manifest = known.manifest(source, self._own.digest if self._own is not None else 0)
         if discards:
-            self._arrived.keep_only(manifest)
-        missing = self._arrived.lacking(manifest, self._own)
+            self._arrived.discard_unreferenced(manifest)
+        missing = self._arrived.missing(manifest, self._own)
         for number in list(missing)[:arrives]:
-            self._arrived.add(source.parts[number])
-        assembled = self._arrived.join(manifest, self._own)
+            self._arrived.add(source.chunks[number])
+        assembled = self._arrived.assemble(manifest, self._own)
         if arrives >= len(missing):
             assert assembled is not None
         if assembled is not None:
@@ -217,15 +220,15 @@
             config = self._own.config
             assert _contents(config) == _contents(self._published[config.version])
 
-    def _publish(self, numbers: set[int]) -> PartedConfig:
+    def _publish(self, numbers: set[int]) -> ChunkedConfig:
         version = len(self._published) + 1
         config = _config(version, [_route(n, float(version % 3)) for n in sorted(numbers)])
         self._published[version] = config
-        return at_once(part_config(config))
+        return run_to_completion(split_config(config))
 
-    def _apply(self, peer: int, parted: PartedConfig) -> None:
+    def _apply(self, peer: int, parted: ChunkedConfig) -> None:
         _, known = self._peers[peer]
-        known.remember(parted)
+        known.record(parted)
         self._peers[peer] = (parted, known)
 
 
--- a/src/egretrail/cluster/tests/test_hub.py
+++ b/src/egretrail/cluster/tests/test_hub.py
@@ -4,14 +4,14 @@
 from typing import Any
 
 from egretrail.cluster import (
-    Beat,
     DropReport,
-    Finding,
-    Following,
+    Heartbeat,
     Hub,
+    HubElection,
     HubState,
     LimitReport,
     LossReport,
+    OutcomeReport,
     RosterSlice,
     Scope,
     Section,
@@ -26,14 +26,14 @@
 _HUB = "10.0.0.1"
 
 
-def _outcome(key: int, outcome: Outcome = Outcome.FAILED) -> Finding:
-    return Finding(key, outcome, 0.003, "10.0.0.2")
+def _outcome(key: int, outcome: Outcome = Outcome.FAILED) -> OutcomeReport:
+    return OutcomeReport(key, outcome, 0.003, "10.0.0.2")
 
 
-def _hub(*heartbeats: Beat) -> Hub:
+def _hub(*heartbeats: Heartbeat) -> Hub:
     hub = Hub(_HUB, "a", 7, 0.0)
     for one in heartbeats:
-        hub.hear(one, 0.0, direct=True)
+        hub.record_heartbeat(one, 0.0, direct=True)
     return hub
 
 
@@ -71,7 +71,7 @@
         hub = _hub(
             *(heartbeat(f"10.0.0.{n}", sequence, loads=loads) for n, sequence, loads in sent)
         )
-        self.assertEqual(expected, _loads(list(hub.across_sections(_STATE, 0.1))))
+        self.assertEqual(expected, _loads(list(hub.cross_zone_sections(_STATE, 0.1))))
 
     def test_changed_loads_are_sent_once_and_all_loads_within_fifteen_sections(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", loads=dict.fromkeys(range(40), 1)))
@@ -83,74 +83,88 @@
 
     def test_loads_of_a_removed_instance_are_removed(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", loads={5: 1}))
-        hub.hear(heartbeat("10.0.0.3", loads={5: 2}), 1.0, direct=True)
-        self.assertEqual(["10.0.0.2"], [one.address for one in hub.expire(1.5)])
-        self.assertEqual({5: 2}, _loads(list(hub.across_sections(_STATE, 1.5))))
+        hub.record_heartbeat(heartbeat("10.0.0.3", loads={5: 2}), 1.0, direct=True)
+        self.assertEqual(["10.0.0.2"], [one.address for one in hub.remove_silent(1.5)])
+        self.assertEqual({5: 2}, _loads(list(hub.cross_zone_sections(_STATE, 1.5))))
 
     def test_a_pause_of_the_hub_removes_nobody(self) -> None:
         hub = _hub(heartbeat("10.0.0.2"))
-        hub.postpone(4.0)
-        self.assertEqual([], list(hub.expire(5.0)))
+        hub.extend_deadlines(4.0)
+        self.assertEqual([], list(hub.remove_silent(5.0)))
 
     def test_retry_counts_start_from_the_known_counts_and_never_decrease(self) -> None:
         known, first = {"s": RetryCounts(88, 8)}, {"s": RetryCounts(90, 9)}
-        hub = _hub(heartbeat("10.0.0.2", 1, repeats=first, told_repeats=known))
-        hub.hear(heartbeat("10.0.0.2", 2, repeats={"s": RetryCounts(95, 10)}), 0.1, direct=True)
-        restarted = heartbeat("10.0.0.2", 1, incarnation=8, repeats={"s": RetryCounts(2, 0)})
-        hub.hear(restarted, 0.2, direct=True)
+        hub = _hub(heartbeat("10.0.0.2", 1, retries=first, known_retries=known))
+        hub.record_heartbeat(
+            heartbeat("10.0.0.2", 2, retries={"s": RetryCounts(95, 10)}), 0.1, direct=True
+        )
+        restarted = heartbeat("10.0.0.2", 1, incarnation=8, retries={"s": RetryCounts(2, 0)})
+        hub.record_heartbeat(restarted, 0.2, direct=True)
         [section, *_] = hub.zone_sections(_STATE, 0.3)
-        self.assertEqual({"s": RetryCounts(7, 2)}, section.repeats)
+        self.assertEqual({"s": RetryCounts(7, 2)}, section.retries)
 
     def test_the_last_heartbeat_of_each_instance_is_acknowledged_at_its_index(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 300), heartbeat("10.0.0.3", 5))
         sections = list(hub.zone_sections(_STATE, 0.1))
         roster = _roster(sections)
-        places = dict(zip((i.address for i in roster.instances), roster.places, strict=True))
+        ack_indexes = dict(
+            zip((i.address for i in roster.instances), roster.ack_indexes, strict=True)
+        )
         row = sections[0].acknowledged
-        self.assertEqual((300 & 0xFF, 5), (row[places["10.0.0.2"]], row[places["10.0.0.3"]]))
+        self.assertEqual(
+            (300 & 0xFF, 5), (row[ack_indexes["10.0.0.2"]], row[ack_indexes["10.0.0.3"]])
+        )
 
 
 class UpdatesTest(EgretrailTestCase):
     @cases(
         {
-            "a failure": ({"findings": [_outcome(5)]}, True),
-            "a refusal": ({"findings": [_outcome(5, Outcome.SHED)]}, False),
+            "a failure": ({"outcomes": [_outcome(5)]}, True),
+            "a refusal": ({"outcomes": [_outcome(5, Outcome.SHED)]}, False),
             "a loss": ({"losses": [LossReport(RequestDigest(1), 5)]}, True),
             "a drop": ({"dropped": [DropReport("u", 4)]}, True),
             "a limit": ({"limits": [LimitReport(5, 1.5, 0.0)]}, True),
             "a load": ({"loads": {5: 1}}, False),
-            "a success": ({"routine": [_outcome(5, Outcome.SUCCESS)]}, False),
+            "a success": ({"successes": [_outcome(5, Outcome.SUCCESS)]}, False),
             "nothing": ({}, False),
         }
     )
     def test_which_updates_are_urgent(self, case: tuple[Mapping[str, Any], bool]) -> None:
         fields, urgent = case
         hub = _hub(heartbeat("10.0.0.2", 1))
-        self.assertIs(urgent, hub.hear(heartbeat("10.0.0.2", 2, **fields), 0.1, direct=True))
+        self.assertIs(
+            urgent, hub.record_heartbeat(heartbeat("10.0.0.2", 2, **fields), 0.1, direct=True)
+        )
 
     def test_an_outdated_limit_in_a_repeated_report_is_ignored(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 1), heartbeat("10.0.0.3", 1))
-        hub.hear(heartbeat("10.0.0.2", 2, limits=[LimitReport(5, 1.5, 0.0)]), 0.1, direct=True)
-        hub.hear(heartbeat("10.0.0.3", 2, limits=[LimitReport(5, None, 0.0)]), 0.5, direct=True)
+        hub.record_heartbeat(
+            heartbeat("10.0.0.2", 2, limits=[LimitReport(5, 1.5, 0.0)]), 0.1, direct=True
+        )
+        hub.record_heartbeat(
+            heartbeat("10.0.0.3", 2, limits=[LimitReport(5, None, 0.0)]), 0.5, direct=True
+        )
         again = heartbeat("10.0.0.2", 3, limits=[LimitReport(5, 1.5, 0.5)])
-        self.assertFalse(hub.hear(again, 0.6, direct=True))
-        section, *_ = hub.urgent_sections(Scope.ACROSS, _STATE, 0.6)
+        self.assertFalse(hub.record_heartbeat(again, 0.6, direct=True))
+        section, *_ = hub.urgent_sections(Scope.CROSS_ZONE, _STATE, 0.6)
         [report] = section.limits
         self.assertIsNone(report.limit_per_s)
         self.assertAlmostEqual(0.1, report.age_s)
 
     def test_loss_of_the_last_store_contact_is_sent_to_other_zones_at_once(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 1, store_contact=True))
-        list(hub.across_sections(_STATE, 0.1))
-        list(hub.across_sections(_STATE, 0.2))
-        self.assertTrue(hub.hear(heartbeat("10.0.0.2", 2, store_contact=False), 0.3, direct=True))
-        [section] = hub.urgent_sections(Scope.ACROSS, _STATE, 0.3)
+        list(hub.cross_zone_sections(_STATE, 0.1))
+        list(hub.cross_zone_sections(_STATE, 0.2))
+        self.assertTrue(
+            hub.record_heartbeat(heartbeat("10.0.0.2", 2, store_contact=False), 0.3, direct=True)
+        )
+        [section] = hub.urgent_sections(Scope.CROSS_ZONE, _STATE, 0.3)
         self.assertEqual(0, section.store_readers)
 
     def test_limits_that_many_upstreams_advertise_at_once_are_all_sent(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 1))
         limits = [LimitReport(key, 1.5, 0.0) for key in range(100)]
-        hub.hear(heartbeat("10.0.0.2", 2, limits=limits), 0.1, direct=True)
+        hub.record_heartbeat(heartbeat("10.0.0.2", 2, limits=limits), 0.1, direct=True)
         sent = {
             report.upstream_key
             for step in range(10)
@@ -162,14 +176,14 @@
     def test_an_outcome_is_sent_three_times_to_each_scope_despite_repeated_heartbeats(self) -> None:
         hub = _hub(heartbeat("10.0.0.2", 1))
         for sequence in range(2, 6):
-            update = heartbeat("10.0.0.2", sequence, findings=[_outcome(5)])
-            hub.hear(update, sequence / 10, direct=True)
+            update = heartbeat("10.0.0.2", sequence, outcomes=[_outcome(5)])
+            hub.record_heartbeat(update, sequence / 10, direct=True)
         for scope in Scope:
             sent = [
-                (one.first_finding, [f.upstream_key for f in one.findings])
+                (one.first_outcome, [f.upstream_key for f in one.outcomes])
                 for _ in range(5)
                 for one in hub.urgent_sections(scope, _STATE, 1.0)
-                if one.findings
+                if one.outcomes
             ]
             self.assertEqual([(0, [5])] * 3, sent)
 
@@ -188,15 +202,15 @@
         sent = 0
         for tenth in range(20):
             seen = [_outcome(5, Outcome.SHED)] * 9
-            update = heartbeat("10.0.0.2", 2 + tenth, first_finding=9 * tenth, findings=seen)
-            hub.hear(update, tenth / 10, direct=True)
+            update = heartbeat("10.0.0.2", 2 + tenth, first_outcome=9 * tenth, outcomes=seen)
+            hub.record_heartbeat(update, tenth / 10, direct=True)
             sent += sum(len(one.refusals) for one in hub.zone_sections(_STATE, tenth / 10))
         self.assertLessEqual(sent, 8)
         self.assertGreaterEqual(sent, 6)
 
     def test_durations_of_successes_are_averaged(self) -> None:
-        answers = [Finding(5, Outcome.SUCCESS, duration_s, "") for duration_s in (0.2, 0.4)]
-        hub = _hub(heartbeat("10.0.0.2", 1), heartbeat("10.0.0.3", 1, routine=answers))
+        answers = [OutcomeReport(5, Outcome.SUCCESS, duration_s, "") for duration_s in (0.2, 0.4)]
+        hub = _hub(heartbeat("10.0.0.2", 1), heartbeat("10.0.0.3", 1, successes=answers))
         [section, *_] = hub.zone_sections(_STATE, 0.1)
         self.assertEqual([5], list(section.changed.keys))
         self.assertAlmostEqual(0.3, section.changed.durations_s[0])
@@ -207,10 +221,10 @@
             seen = [_outcome(300 * n + m, Outcome.SHED) for m in range(20)]
             failed = [_outcome(300 * n + m) for m in range(20)]
             loads = {300 * n + m: 1 for m in range(40)}
-            update = heartbeat(f"10.0.{n // 250}.{n % 250}", findings=seen + failed, loads=loads)
-            hub.hear(update, 0.0, direct=True)
+            update = heartbeat(f"10.0.{n // 250}.{n % 250}", outcomes=seen + failed, loads=loads)
+            hub.record_heartbeat(update, 0.0, direct=True)
         sections = [next(iter(hub.zone_sections(_STATE, 0.1)))]
-        [data] = encode_sections(sections, across=False)
+        [data] = encode_sections(sections, cross_zone=False)
         self.assertLess(len(data), 8_000)
 
 
@@ -229,21 +243,21 @@
     def test_the_roster_of_a_new_hub_is_incomplete(self) -> None:
         hub = _hub(heartbeat("10.0.0.2"))
         self.assertFalse(_roster(list(hub.zone_sections(_STATE, 0.1))).complete)
-        hub.hear(heartbeat("10.0.0.3"), 2.0, direct=True)
+        hub.record_heartbeat(heartbeat("10.0.0.3"), 2.0, direct=True)
         self.assertTrue(_roster(list(hub.zone_sections(_STATE, 2.0))).complete)
 
     def test_an_acknowledgement_index_is_not_reused_soon(self) -> None:
         hub = _hub(heartbeat("10.0.0.2"))
-        hub.expire(2.0)
-        hub.hear(heartbeat("10.0.0.3"), 2.1, direct=True)
-        self.assertEqual([1], list(_roster(list(hub.zone_sections(_STATE, 2.2))).places))
-        hub.expire(4.0)
-        hub.hear(heartbeat("10.0.0.4"), 6.5, direct=True)
-        self.assertEqual([0], list(_roster(list(hub.zone_sections(_STATE, 6.6))).places))
+        hub.remove_silent(2.0)
+        hub.record_heartbeat(heartbeat("10.0.0.3"), 2.1, direct=True)
+        self.assertEqual([1], list(_roster(list(hub.zone_sections(_STATE, 2.2))).ack_indexes))
+        hub.remove_silent(4.0)
+        hub.record_heartbeat(heartbeat("10.0.0.4"), 6.5, direct=True)
+        self.assertEqual([0], list(_roster(list(hub.zone_sections(_STATE, 6.6))).ack_indexes))
 
     def test_sections_are_sent_directly_only_to_direct_members(self) -> None:
         hub = _hub(heartbeat("10.0.0.2"))
-        hub.hear(heartbeat("10.0.0.3"), 0.0, direct=False)
+        hub.record_heartbeat(heartbeat("10.0.0.3"), 0.0, direct=False)
         self.assertEqual(["10.0.0.2"], list(hub.receivers()))
 
 
@@ -269,12 +283,12 @@
 
 
 class HubElectionTest(EgretrailTestCase):
-    def _election(self, own: str, received: Sequence[tuple[str, str, float]]) -> Following:
-        election = Following(own, 0.0)
+    def _election(self, own: str, received: Sequence[tuple[str, str, float]]) -> HubElection:
+        election = HubElection(own, 0.0)
         for hub, sender, at_s in received:
-            if election.accepts(hub, _ORDER, at_s):
-                election.heard(hub, sender, _ORDER, at_s)
-                election.acknowledged(at_s - 0.1)
+            if election.accepts_hub(hub, _ORDER, at_s):
+                election.record_section(hub, sender, _ORDER, at_s)
+                election.record_acknowledgement(at_s - 0.1)
         return election
 
     @cases(
@@ -309,7 +323,7 @@
         self, case: tuple[str, Sequence[tuple[str, str, float]], float, bool]
     ) -> None:
         own, received, now_s, is_hub = case
-        self.assertIs(is_hub, self._election(own, received).acts(_ORDER, now_s))
+        self.assertIs(is_hub, self._election(own, received).is_hub(_ORDER, now_s))
 
     @cases(
         {
@@ -332,27 +346,27 @@
     ) -> None:
         received, now_s, targets = case
         election = self._election("10.0.0.4", received)
-        self.assertEqual(targets, list(election.targets(_ORDER, now_s)))
+        self.assertEqual(targets, list(election.heartbeat_targets(_ORDER, now_s)))
 
     def test_unacknowledged_heartbeats_are_sent_to_fallback_targets(self) -> None:
         election = self._election("10.0.0.4", [("10.0.0.1", "10.0.0.1", 1.0)])
         for tenth in range(11, 20):
-            election.heard("10.0.0.1", "10.0.0.1", _ORDER, tenth / 10)
-        self.assertEqual(_ORDER[:3], list(election.targets(_ORDER, 1.95)))
+            election.record_section("10.0.0.1", "10.0.0.1", _ORDER, tenth / 10)
+        self.assertEqual(_ORDER[:3], list(election.heartbeat_targets(_ORDER, 1.95)))
 
     def test_a_hub_earlier_in_the_order_is_accepted_and_a_later_one_is_not(self) -> None:
         election = self._election("10.0.0.4", [("10.0.0.2", "10.0.0.2", 1.0)])
-        self.assertFalse(election.accepts("10.0.0.3", _ORDER, 1.1))
-        self.assertTrue(election.accepts("10.0.0.1", _ORDER, 1.1))
-        self.assertTrue(election.accepts("10.0.0.3", _ORDER, 1.4))
+        self.assertFalse(election.accepts_hub("10.0.0.3", _ORDER, 1.1))
+        self.assertTrue(election.accepts_hub("10.0.0.1", _ORDER, 1.1))
+        self.assertTrue(election.accepts_hub("10.0.0.3", _ORDER, 1.4))
 
     def test_the_direct_members_of_a_hub_in_a_large_zone_are_bounded(self) -> None:
         order = [f"10.0.{n // 250}.{n % 250}" for n in range(318)]
         firsts: dict[str, int] = {}
         for address in order[1:]:
-            election = Following(address, 0.0)
-            election.heard(order[0], order[0], order, 1.0)
-            election.way = None
+            election = HubElection(address, 0.0)
+            election.record_section(order[0], order[0], order, 1.0)
+            election.next_hop = None
             first = election._preferred_next_hop(order)
             firsts[first] = firsts.get(first, 0) + 1
         self.assertLessEqual(max(firsts.values()), 80)
--- a/src/egretrail/cluster/tests/test_zone_peers.py
+++ b/src/egretrail/cluster/tests/test_zone_peers.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from egretrail.cluster import Beat, Hub, HubState, Section, ZoneShare
+from egretrail.cluster import Heartbeat, Hub, HubState, Section, ZonePeers
 from egretrail.cluster.tests.messages import heartbeat
 from egretrail.dispatch import RetryCounts
 from egretrail.testing import EgretrailTestCase
@@ -26,24 +26,26 @@
         self.sequence = 0
         self.loads: dict[int, int] = {}
         self.counts = RetryCounts()
-        self.zone_peers = ZoneShare()
+        self.zone_peers = ZonePeers()
         self.ack_index: int | None = None
 
-    def heartbeat(self, now_s: float) -> Beat:
+    def heartbeat(self, now_s: float) -> Heartbeat:
         self.sequence += 1
         sent_heartbeat = heartbeat(
-            self.address, self.sequence, loads=dict(self.loads), repeats={"s": self.counts}
+            self.address, self.sequence, loads=dict(self.loads), retries={"s": self.counts}
         )
-        self.zone_peers.sent(sent_heartbeat, now_s)
+        self.zone_peers.record_heartbeat(sent_heartbeat, now_s)
         return sent_heartbeat
 
     def apply_section(self, section: Section) -> None:
         if section.roster is not None:
-            for one, ack_index in zip(section.roster.instances, section.roster.places, strict=True):
+            for one, ack_index in zip(
+                section.roster.instances, section.roster.ack_indexes, strict=True
+            ):
                 if one.address == self.address:
                     self.ack_index = ack_index
-        self.zone_peers.take(section, self.ack_index)
-        self.zone_peers.loads(section)
+        self.zone_peers.apply_acknowledgement(section, self.ack_index)
+        self.zone_peers.apply_loads(section)
 
 
 class ZonePeersMachine(RuleBasedStateMachine):
@@ -55,7 +57,7 @@
         self.now_s = 0.0
         self.instances = {address: _Instance(address) for address in (_OWN, _OTHER)}
         self.hub = Hub("10.0.0.3", "a", 1, 0.0)
-        self.late: list[Beat] = []
+        self.late: list[Heartbeat] = []
         self.repeats_since: dict[str, int] = {}
 
     @rule(address=st.sampled_from([_OWN, _OTHER]), key=st.sampled_from(_KEYS))
@@ -83,7 +85,7 @@
         """Send a heartbeat to the hub."""
         sent_heartbeat = self.instances[address].heartbeat(self.now_s)
         if fate in ("delivered", "duplicated"):
-            self.hub.hear(sent_heartbeat, self.now_s, direct=True)
+            self.hub.record_heartbeat(sent_heartbeat, self.now_s, direct=True)
         if fate in ("late", "duplicated"):
             self.late.append(sent_heartbeat)
 
@@ -91,7 +93,7 @@
     def deliver_late(self) -> None:
         """Deliver the oldest late heartbeat."""
         if self.late:
-            self.hub.hear(self.late.pop(0), self.now_s, direct=True)
+            self.hub.record_heartbeat(self.late.pop(0), self.now_s, direct=True)
 
     @rule(lost=st.sets(st.sampled_from([_OWN, _OTHER])))
     def send_sections(self, lost: set[str]) -> None:
@@ -109,7 +111,7 @@
             return
         for address, one in self.instances.items():
             retries_made = sum(o.counts.retries for a, o in self.instances.items() if a != address)
-            retries_counted = one.zone_peers.repeats().get("s", RetryCounts()).retries
+            retries_counted = one.zone_peers.peer_retries().get("s", RetryCounts()).retries
             assert retries_counted <= retries_made, (address, retries_counted, retries_made)
 
     def teardown(self) -> None:
@@ -118,12 +120,12 @@
             return
         for _ in range(2):
             for one in self.instances.values():
-                self.hub.hear(one.heartbeat(self.now_s), self.now_s, direct=True)
+                self.hub.record_heartbeat(one.heartbeat(self.now_s), self.now_s, direct=True)
             for _ in range(31):
                 self.send_sections(set())
         for address, one in self.instances.items():
             others = [o for a, o in self.instances.items() if a != address]
-            known = one.zone_peers.of_others(_KEYS)
+            known = one.zone_peers.peer_loads(_KEYS)
             for key in _KEYS:
                 assert known[key] == sum(o.loads.get(key, 0) for o in others)
 
@@ -146,17 +148,17 @@
                     counts = one.counts
                     one.counts = RetryCounts(counts.requests + 1, counts.retries + 1)
                 if rng.random() < 0.6:
-                    hub.hear(one.heartbeat(round_ / 10), round_ / 10, direct=True)
+                    hub.record_heartbeat(one.heartbeat(round_ / 10), round_ / 10, direct=True)
             for section in hub.zone_sections(HubState(1, 1), round_ / 10):
                 for one in instances:
                     one.apply_section(section)
             if round_ == 10:
                 base = instances[1].counts.retries
         for one in instances:
-            hub.hear(one.heartbeat(21.0), 21.0, direct=True)
+            hub.record_heartbeat(one.heartbeat(21.0), 21.0, direct=True)
         for section in hub.zone_sections(HubState(1, 1), 21.0):
             instances[0].apply_section(section)
-        retries_counted = instances[0].zone_peers.repeats()["s"].retries
+        retries_counted = instances[0].zone_peers.peer_retries()["s"].retries
         retries_made = instances[1].counts.retries
         self.assertLessEqual(retries_counted, retries_made)
         self.assertGreaterEqual(retries_counted, retries_made - base)
--- a/src/egretrail/gateway/_config_fetch.py
+++ b/src/egretrail/gateway/_config_fetch.py
@@ -4,15 +4,15 @@
 import random
 
 from egretrail.cluster import (
-    ConfigOutline,
+    ChunkCollection,
+    ChunkedConfig,
+    ConfigManifest,
+    FetchChunks,
+    FetchManifest,
     MalformedMessage,
-    OutlineQuestion,
-    PartedConfig,
-    PartsCollection,
-    PartsQuestion,
     Referral,
-    decode_outline,
-    decode_parts,
+    decode_chunks,
+    decode_manifest,
 )
 from egretrail.gateway._interfaces import StartSettings
 from egretrail.gateway._log import EventLog
@@ -65,7 +65,7 @@
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._fetches = ConcurrentFetches()
-        self._chunks = PartsCollection()
+        self._chunks = ChunkCollection()
         #: The pending delayed fetch from another zone.
         self._delayed: asyncio.Task[None] | None = None
         #: When a fetch from an instance of the own zone last failed.
@@ -179,40 +179,40 @@
                 continue
             if self._view.take_config(config, f"peer {address}"):
                 # The peer may now refer others to this instance.
-                peer.send(OutlineQuestion(config.digest, self._settings.ip, is_hub))
+                peer.send(FetchManifest(config.digest, self._settings.ip, is_hub))
                 self._fetches.cancel(keep=asyncio.current_task())
             return None
         return None
 
     async def _request_manifest(
         self, peer: PeerStream, *, is_hub: bool
-    ) -> ConfigOutline | Referral:
+    ) -> ConfigManifest | Referral:
         own = self._view.configs.chunked
         base = own.digest if own is not None else 0
-        message = OutlineQuestion(base, self._settings.ip, is_hub)
-        manifest = await peer.request(message, decode_outline)
-        if isinstance(manifest, ConfigOutline) and not manifest.head:
+        message = FetchManifest(base, self._settings.ip, is_hub)
+        manifest = await peer.request(message, decode_manifest)
+        if isinstance(manifest, ConfigManifest) and not manifest.head:
             raise FetchFailed(MalformedMessage("no configuration"))
         return manifest
 
-    async def _collect(self, peer: PeerStream, manifest: ConfigOutline) -> PartedConfig | None:
+    async def _collect(self, peer: PeerStream, manifest: ConfigManifest) -> ChunkedConfig | None:
         """Fetch the missing chunks of a peer's configuration; None if it was replaced meanwhile."""
         own = self._view.configs.chunked
-        self._chunks.keep_only(manifest)
-        missing = self._chunks.lacking(manifest, own)
+        self._chunks.discard_unreferenced(manifest)
+        missing = self._chunks.missing(manifest, own)
         while missing:
-            chunks = await peer.request(PartsQuestion(missing), decode_parts)
+            chunks = await peer.request(FetchChunks(missing), decode_chunks)
             self._fetches.record_progress(self._loop.time())
             if not chunks:
                 return None
             for chunk in chunks:
                 self._chunks.add(chunk)
-            before, missing = missing, self._chunks.lacking(manifest, own)
+            before, missing = missing, self._chunks.missing(manifest, own)
             if len(missing) == len(before):
                 raise FetchFailed(MalformedMessage("chunks that were not requested"))
             # Let other tasks run: decoding each reply takes some milliseconds.
             await asyncio.sleep(0)
-        config = self._chunks.join(manifest, own)
+        config = self._chunks.assemble(manifest, own)
         self._chunks.clear()
         if config is None:
             raise FetchFailed(MalformedMessage("chunks do not match the manifest"))
--- a/src/egretrail/gateway/_config_state.py
+++ b/src/egretrail/gateway/_config_state.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from egretrail.cluster import KnownOutlines, PartedConfig
+from egretrail.cluster import ChunkedConfig, ManifestHistory
 from egretrail.traffic import AccountTable, FleetConfig, ObjectiveTable, RouteTable
 
 #: Hubs report their version several times a second. After this silence, an instance is cut off and
@@ -19,7 +19,7 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         #: The configuration in chunks, as instances exchange it; None before one is known.
-        self.chunked: PartedConfig | None = None
+        self.chunked: ChunkedConfig | None = None
         #: The routes of the configuration.
         self.routes: RouteTable | None = None
         #: The latency objectives by which its requests are ranked.
@@ -27,7 +27,7 @@
         #: The client accounts of the configuration; None if requests need no API key.
         self.accounts: AccountTable | None = None
         #: The chunk digests of recent configurations, for peers that still have those.
-        self.manifests = KnownOutlines()
+        self.manifests = ManifestHistory()
         #: Whether the last read of the configuration from the store succeeded.
         self.reaches_store = False
         #: The newest version that a peer reported, and when it was last reported.
@@ -79,7 +79,7 @@
         if self._behind_since_s is None and version > self.version:
             self._behind_since_s = self._reported_s
 
-    def apply(self, chunked: PartedConfig) -> bool:
+    def apply(self, chunked: ChunkedConfig) -> bool:
         """Put a configuration in force; return False if the one in force is as new or newer."""
         if chunked.config.version <= self.version:
             return False
@@ -88,7 +88,7 @@
         self.urgency = ObjectiveTable(chunked.config)
         accounts = chunked.config.accounts
         self.accounts = None if accounts is None else AccountTable(accounts)
-        self.manifests.remember(chunked)
+        self.manifests.record(chunked)
         if chunked.config.version >= self._newest_version:
             self._newest_version, self._newest_s = chunked.config.version, self._clock()
             self._behind_since_s = None
--- a/src/egretrail/gateway/_evidence.py
+++ b/src/egretrail/gateway/_evidence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from egretrail.cluster import Finding
+from egretrail.cluster import OutcomeReport
 from egretrail.dispatch import (
     FleetLoad,
     Observation,
@@ -59,7 +59,7 @@
         if observation.outcome is Outcome.SHED:
             self._refused_s[observation.upstream_id] = now_s
 
-    def record_reported(self, finding: Finding, now_s: float) -> None:
+    def record_reported(self, finding: OutcomeReport, now_s: float) -> None:
         """Record an outcome that another instance reported."""
         upstream_id = self.ids_by_key.get(finding.upstream_key)
         if upstream_id is not None:
--- a/src/egretrail/gateway/_hub_links.py
+++ b/src/egretrail/gateway/_hub_links.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from egretrail.cluster import (
-    Beat,
+    Heartbeat,
     Hub,
     HubState,
     Scope,
@@ -91,21 +91,21 @@
         self._zone_timer.stop()
         self._cross_zone_timer.stop()
 
-    def apply_heartbeat(self, heartbeat: Beat, *, direct: bool) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat, *, direct: bool) -> None:
         """Apply a heartbeat of the own zone."""
-        if self._hub.hear(heartbeat, self._clock(), direct=direct):
+        if self._hub.record_heartbeat(heartbeat, self._clock(), direct=direct):
             self._schedule_urgent()
-        if heartbeat.heard is not None:
-            sent_s = self._echoed_sent_s(Scope.ZONE, [heartbeat.heard])
+        if heartbeat.last_section is not None:
+            sent_s = self._echoed_sent_s(Scope.ZONE, [heartbeat.last_section])
             self._view.apply_peer_confirmation(
-                heartbeat.config_version, heartbeat.config_proof_age_s, sent_s
+                heartbeat.config_version, heartbeat.config_freshness_age_s, sent_s
             )
 
     def apply_hub_confirmation(self, section: Section) -> None:
         """Apply the confirmation in a section of another zone's hub, which names an own section."""
-        sent_s = self._echoed_sent_s(Scope.ACROSS, section.heard)
+        sent_s = self._echoed_sent_s(Scope.CROSS_ZONE, section.received_sections)
         self._view.apply_peer_confirmation(
-            section.config_version, section.config_proof_age_s, sent_s
+            section.config_version, section.config_freshness_age_s, sent_s
         )
 
     def _echoed_sent_s(self, scope: Scope, echoes: Sequence[SectionEcho]) -> float | None:
@@ -123,7 +123,7 @@
 
     def send_roster(self) -> None:
         """Send the roster of the zone, which another zone's hub may not know."""
-        self._hub.tell_roster()
+        self._hub.schedule_roster()
         self._schedule_urgent()
 
     def relay(self, encoded: Sequence[bytes], *, urgent: bool) -> None:
@@ -137,8 +137,8 @@
     def expire(self, pause_s: float) -> None:
         """Remove silent members; ``pause_s`` is the time for which this process was paused."""
         if pause_s:
-            self._hub.postpone(pause_s)
-        if self._hub.expire(self._clock()):
+            self._hub.extend_deadlines(pause_s)
+        if self._hub.remove_silent(self._clock()):
             self._schedule_urgent()
 
     def send_final(self) -> None:
@@ -170,18 +170,18 @@
         return HubState(
             view.config_version,
             view.upstreams.revision,
-            config_proof_age_s=view.reported_freshness_age_s(),
-            heard=view.zones.echoes() if view.needs_proof else (),
+            config_freshness_age_s=view.reported_freshness_age_s(),
+            received_sections=view.zones.echoes() if view.needs_proof else (),
         )
 
     def _record_sent(self, scope: Scope, sections: Sequence[Section]) -> None:
         now_s = self._view.proof.clock()
         for section in sections:
-            self._sent[scope].sent(section.sequence, now_s)
+            self._sent[scope].record(section.sequence, now_s)
 
     def _send_to_zone(self) -> None:
         now_s = self._zone_sent_s = self._clock()
-        if self._hub.hear(self._view.next_heartbeat(), now_s, direct=True):
+        if self._hub.record_heartbeat(self._view.next_heartbeat(), now_s, direct=True):
             self._schedule_urgent_cross_zone(now_s)
         if now_s >= self._zone_due_s - _TIMER_TOLERANCE_S:
             interval_s = _ZONE_INTERVAL_S * self._view.membership.zone_size() / _ZONE_INSTANCES
@@ -193,7 +193,7 @@
         self._record_sent(Scope.ZONE, sections)
         relayed, self._relayed = self._relayed, []
         receivers = self._hub.receivers()
-        for data in encode_sections(sections, relayed, across=False):
+        for data in encode_sections(sections, relayed, cross_zone=False):
             for receiver in receivers:
                 self._send(data, receiver)
         for section in sections:
@@ -202,16 +202,16 @@
 
     def _send_cross_zone(self) -> None:
         now_s = self._cross_zone_sent_s = self._clock()
-        self._hub.hear(self._view.next_heartbeat(), now_s, direct=True)
+        self._hub.record_heartbeat(self._view.next_heartbeat(), now_s, direct=True)
         is_due = True
         if now_s >= self._cross_zone_due_s - _TIMER_TOLERANCE_S:
             self._cross_zone_due_s = now_s + self._cross_zone_interval_s()
-            sections = list(self._hub.across_sections(self._state(), now_s))
+            sections = list(self._hub.cross_zone_sections(self._state(), now_s))
         else:
             is_due = now_s - self._accounts_sent_s >= _ACCOUNTS_INTERVAL_S - _TIMER_TOLERANCE_S
             sections = list(
                 self._hub.urgent_sections(
-                    Scope.ACROSS,
+                    Scope.CROSS_ZONE,
                     self._state(),
                     now_s,
                     with_accounts=self._view.has_accounts and is_due,
@@ -219,16 +219,16 @@
             )
         if is_due:
             self._accounts_sent_s = now_s
-        self._record_sent(Scope.ACROSS, sections)
+        self._record_sent(Scope.CROSS_ZONE, sections)
         targets = [target for zone in self._other_zones() for target in self._hubs(zone, now_s)]
-        for data in encode_sections(sections, across=True):
+        for data in encode_sections(sections, cross_zone=True):
             for target in targets:
                 self._cross_zone_bytes["sections"] += len(data)
                 self._send(data, target)
         self._cross_zone_timer.at(self._cross_zone_due_s)
         if self._view.has_accounts:
             self._cross_zone_timer.at(self._accounts_sent_s + _ACCOUNTS_INTERVAL_S)
-        if self._hub.repeats_findings():
+        if self._hub.has_outcomes_to_resend():
             self._cross_zone_timer.at(now_s + _CROSS_ZONE_RESEND_S)
 
     def _cross_zone_interval_s(self) -> float:
@@ -243,9 +243,9 @@
         hub = self._view.zones.hub(zone)
         if hub is not None and now_s - self._view.zones.last_received_s(zone) <= _HUB_KNOWN_S:
             return [hub]
-        return self._view.membership.order(zone)[:_HUB_CANDIDATES]
+        return self._view.membership.hub_order(zone)[:_HUB_CANDIDATES]
 
 
 def is_urgent(section: Section) -> bool:
     """Return whether a section of another zone should be relayed to the own zone at once."""
-    return bool(section.findings or section.losses or section.dropped or section.limits)
+    return bool(section.outcomes or section.losses or section.dropped or section.limits)
--- a/src/egretrail/gateway/_interfaces.py
+++ b/src/egretrail/gateway/_interfaces.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from egretrail.cluster import at_once
+from egretrail.cluster import run_to_completion
 from egretrail.dispatch import QuotaTerms
 from egretrail.http1 import Answer, ReceivedAnswer, Request
 from egretrail.store import Entry
@@ -103,7 +103,7 @@
 
     def decode_config(self, value: bytes) -> Result[FleetConfig, InvalidDocument]:
         """Decode the configuration without a break."""
-        return at_once(self.read_config(value))
+        return run_to_completion(self.read_config(value))
 
     @abc.abstractmethod
     def decode_upstream(self, entry: Entry) -> Result[UpstreamRecord, InvalidDocument]:
--- a/src/egretrail/gateway/_introducer.py
+++ b/src/egretrail/gateway/_introducer.py
@@ -44,7 +44,7 @@
         introduction = Introduction(
             view.own_instance(), view.config_version, view.upstreams.revision, instances
         )
-        known = view.membership.named(target)
+        known = view.membership.find_by_address(target)
         is_cross_zone = known is None or known.availability_zone != view.own_zone
         for data in encode_introduction(introduction):
             if is_cross_zone:
@@ -56,6 +56,9 @@
         introduced: list[Instance] = []
         for zone in membership.zones():
             count = _SAME_ZONE_MAX if zone == availability_zone else _OTHER_ZONE_MAX
-            known = [membership.named(address) for address in membership.order(zone)[:count]]
+            known = [
+                membership.find_by_address(address)
+                for address in membership.hub_order(zone)[:count]
+            ]
             introduced += [instance for instance in known if instance is not None]
         return introduced
--- a/src/egretrail/gateway/_named_limits.py
+++ b/src/egretrail/gateway/_named_limits.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from egretrail.cluster import LimitReport, Membership, OwnNews
+from egretrail.cluster import LimitReport, Membership, OutgoingReports
 from egretrail.dispatch import AdvertisedLimit, AdvertisedLimits, LimitPosition
 from egretrail.gateway._log import EventLog
 from egretrail.identity import rendezvous_order
@@ -16,7 +16,7 @@
         self,
         own_address: str,
         position_of: Callable[[UpstreamRecord], LimitPosition],
-        reports: OwnNews,
+        reports: OutgoingReports,
         log: EventLog,
     ) -> None:
         self._own_address = own_address
@@ -32,7 +32,7 @@
         if advertised is None:
             return False
         self._log_change(advertised, before, self._own_address)
-        self._reports.limited(upstream_key(upstream_id), advertised.limit_per_s, now_s)
+        self._reports.record_limit(upstream_key(upstream_id), advertised.limit_per_s, now_s)
         return True
 
     def record_reported(
@@ -79,5 +79,5 @@
         responsible = rendezvous_order(f"limit {record.id}", zones)[0]
     size = membership.zone_size()
     # An instance that is stopping ranks last, so that another one takes its share.
-    rank = size if leaving else membership.rank_for(f"limit {record.id}", own_zone)
+    rank = size if leaving else membership.task_rank(f"limit {record.id}", own_zone)
     return LimitPosition(responsible == own_zone, rank, size, fleet_size, known_share)
--- a/src/egretrail/gateway/_peer_streams.py
+++ b/src/egretrail/gateway/_peer_streams.py
@@ -8,7 +8,7 @@
 
 from result import Err, Result
 
-from egretrail.cluster import MalformedMessage, Question, encode_question
+from egretrail.cluster import FetchMessage, MalformedMessage, encode_fetch
 from egretrail.gateway._frames import read_frame, write_frame
 from egretrail.gateway._interfaces import StartSettings
 from egretrail.gateway._log import EventLog
@@ -65,7 +65,7 @@
     received_bytes: int = 0
 
     async def request(
-        self, message: Question, decode: Callable[[bytes], Result[T, MalformedMessage]]
+        self, message: FetchMessage, decode: Callable[[bytes], Result[T, MalformedMessage]]
     ) -> T:
         """Send a fetch message and return the decoded reply."""
         self.send(message)
@@ -76,9 +76,9 @@
             raise FetchFailed(decoded.err_value)
         return decoded.ok_value
 
-    def send(self, message: Question) -> None:
+    def send(self, message: FetchMessage) -> None:
         """Send a fetch message without waiting for the reply."""
-        write_frame(self.writer, encode_question(message))
+        write_frame(self.writer, encode_fetch(message))
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/egretrail/gateway/_peers.py
+++ b/src/egretrail/gateway/_peers.py
@@ -8,18 +8,18 @@
 from result import Err
 
 from egretrail.cluster import (
-    BEAT_INTERVAL_S,
-    HUB_SILENCE_S,
-    Beat,
-    BeatsDatagram,
-    Following,
+    HEARTBEAT_INTERVAL_S,
+    HUB_TIMEOUT_S,
+    Heartbeat,
+    HeartbeatsDatagram,
+    HubElection,
     Instance,
     Introduction,
     Section,
     SectionsDatagram,
     decode_datagram,
-    encode_beats,
-    encode_passed_on,
+    encode_heartbeats,
+    encode_relayed,
 )
 from egretrail.gateway._hub_links import HubLinks, is_urgent
 from egretrail.gateway._interfaces import GatewaySettings
@@ -93,7 +93,7 @@
         self._loop = asyncio.get_running_loop()
         #: Fetches upstreams and configurations from peers.
         self.state = StateExchange(settings, view, log, rng)
-        self._election = Following(settings.ip, self._loop.time())
+        self._election = HubElection(settings.ip, self._loop.time())
         self._hub: HubLinks | None = None
         #: How often this process became the hub; aggregates and their numbers restart each time.
         self._hub_terms = 0
@@ -126,7 +126,7 @@
         while True:
             self._tick()
             first = self._heartbeats_sent < _FIRST_HEARTBEATS
-            interval_s = _FIRST_INTERVAL_S if first else BEAT_INTERVAL_S
+            interval_s = _FIRST_INTERVAL_S if first else HEARTBEAT_INTERVAL_S
             if self._loop.time() - self._heartbeat_sent_s >= interval_s:
                 self.send_heartbeat()
             await asyncio.sleep(_FIRST_INTERVAL_S if first else _TICK_S)
@@ -153,7 +153,7 @@
 
     def leave(self) -> None:
         """Announce that this instance is stopping, so that another one takes over as the hub."""
-        self._view.membership.leave()
+        self._view.membership.withdraw()
         if self._hub is not None:
             self._hub.send_final()
             self._hub = None
@@ -167,13 +167,13 @@
         order = self._order()
         if self._hub is None:
             targets = [
-                *self._election.targets(order, self._heartbeat_sent_s),
+                *self._election.heartbeat_targets(order, self._heartbeat_sent_s),
                 *self._seeds_to_contact(),
             ]
         else:
             targets = [*self._peers_to_greet(order), *self._seeds_to_contact()]
         if targets:
-            data = encode_beats(BeatsDatagram(0, [self._view.next_heartbeat()]))
+            data = encode_heartbeats(HeartbeatsDatagram(0, [self._view.next_heartbeat()]))
             for target in dict.fromkeys(targets):
                 self._send(data, target)
         if self._repeat_heartbeat:
@@ -187,11 +187,11 @@
             self._log.event("datagram_dropped", peer=sender, cause=decoded.err_value)
             return
         match decoded.ok_value:
-            case BeatsDatagram() as datagram:
-                for heartbeat in datagram.beats:
+            case HeartbeatsDatagram() as datagram:
+                for heartbeat in datagram.heartbeats:
                     self._handle_heartbeat(heartbeat, datagram.hops, sender)
             case SectionsDatagram() as datagram:
-                if datagram.across:
+                if datagram.is_cross_zone:
                     self._handle_cross_zone_sections(datagram)
                 else:
                     self._handle_zone_sections(datagram, sender)
@@ -203,7 +203,7 @@
         pause_s = now_s - self._ticked_s
         self._ticked_s = now_s
         if pause_s > _PAUSE_S:
-            self._view.membership.postpone(pause_s)
+            self._view.membership.extend_deadlines(pause_s)
         if self._hub is not None:
             self._hub.expire(pause_s if pause_s > _PAUSE_S else 0.0)
         if now_s - self._expired_s >= _EXPIRE_S:
@@ -213,7 +213,7 @@
 
     def _update_hub_role(self, now_s: float) -> None:
         """Become the hub, or give up the hub role."""
-        should_act = not self._view.leaving and self._election.acts(self._order(), now_s)
+        should_act = not self._view.leaving and self._election.is_hub(self._order(), now_s)
         if should_act and self._hub is None:
             self._log.event("hub_started", known=self._view.membership.zone_size())
             self._hub_terms += 1
@@ -232,16 +232,16 @@
             self.send_heartbeat()
 
     def _order(self) -> Sequence[str]:
-        return self._view.membership.order(self._settings.availability_zone)
+        return self._view.membership.hub_order(self._settings.availability_zone)
 
     def _peers_to_greet(self, order: Sequence[str]) -> Sequence[str]:
         """Return the peers to which a hub announces itself: the rightful hub, or successors."""
         own = self._settings.ip
         rank = order.index(own) if own in order else 0
         successors = order[:1] if rank else order[1 : 1 + _GREETED_PEERS]
-        return [*successors, *self._view.membership.strangers()[:_GREETED_PEERS]]
+        return [*successors, *self._view.membership.unlisted_instances()[:_GREETED_PEERS]]
 
-    def _handle_heartbeat(self, heartbeat: Beat, hops: int, sender: str) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, hops: int, sender: str) -> None:
         if heartbeat.origin == self._settings.ip:
             return
         now_s = self._loop.time()
@@ -249,7 +249,7 @@
             self._introduce(heartbeat.instance(), now_s)
             self._introducer.reply(heartbeat.origin, heartbeat.availability_zone, now_s)
         elif self._hub is not None:
-            newcomer = self._view.membership.hear(heartbeat.instance(), now_s)
+            newcomer = self._view.membership.record_heartbeat(heartbeat.instance(), now_s)
             if newcomer:
                 self._introducer.reply(heartbeat.origin, heartbeat.availability_zone, now_s)
             self._hub.apply_heartbeat(heartbeat, direct=hops == 0)
@@ -264,22 +264,22 @@
         )
         self.state.fetch_if_newer(offer, at_once=self._hub is not None)
 
-    def _relay_to_hub(self, heartbeat: Beat, hops: int, sender: str, now_s: float) -> None:
+    def _relay_to_hub(self, heartbeat: Heartbeat, hops: int, sender: str, now_s: float) -> None:
         """Relay a heartbeat whose sender cannot reach the hub or knows none."""
         if len(self._relay_clients_s) >= _RELAY_CLIENTS_MAX:
             self._relay_clients_s.clear()
         self._relay_clients_s[sender] = now_s
         if hops >= _HOPS_MAX:
             return
-        data = encode_beats(BeatsDatagram(hops + 1, [heartbeat]))
+        data = encode_heartbeats(HeartbeatsDatagram(hops + 1, [heartbeat]))
         for target in self._next_hops(now_s):
             if target not in (sender, heartbeat.origin):
                 self._send(data, target)
 
     def _next_hops(self, now_s: float) -> Sequence[str]:
         election = self._election
-        if election.hub is not None and now_s - election.heard_s <= HUB_SILENCE_S:
-            return [election.way or election.hub]
+        if election.hub is not None and now_s - election.last_section_s <= HUB_TIMEOUT_S:
+            return [election.next_hop or election.hub]
         return [address for address in self._order() if address != self._settings.ip][:1]
 
     def _handle_zone_sections(self, datagram: SectionsDatagram, sender: str) -> None:
@@ -295,15 +295,15 @@
     def _apply_own_zone_section(self, section: Section, sender: str) -> bool:
         now_s = self._loop.time()
         order = self._order()
-        if not self._election.accepts(section.hub, order, now_s):
+        if not self._election.accepts_hub(section.hub, order, now_s):
             self._view.apply_section(section, followed=False)
             return False
         is_new = self._view.apply_section(section, followed=True)
         before = self._election.hub
-        self._election.heard(section.hub, sender, self._order(), now_s)
+        self._election.record_section(section.hub, sender, self._order(), now_s)
         sent_s = self._view.zones.acknowledged_s()
         if sent_s is not None:
-            self._election.acknowledged(sent_s)
+            self._election.record_acknowledgement(sent_s)
         self._handle_section_offer(section)
         if before != section.hub:
             self._log.event("hub_followed", hub=section.hub, before=before, sender=sender)
@@ -314,16 +314,16 @@
     def _apply_own_hub_section(self, section: Section) -> bool:
         """Apply a section that this instance sent as the hub, as its receivers do."""
         now_s = self._loop.time()
-        if not self._election.accepts(section.hub, self._order(), now_s):
+        if not self._election.accepts_hub(section.hub, self._order(), now_s):
             return self._view.apply_section(section, followed=False)
-        self._election.heard(section.hub, section.hub, self._order(), now_s)
+        self._election.record_section(section.hub, section.hub, self._order(), now_s)
         return self._view.apply_section(section, followed=True)
 
     def _handle_cross_zone_sections(self, datagram: SectionsDatagram) -> None:
         now_s = self._loop.time()
         if self._hub is None:
             if datagram.hops < _HOPS_MAX:
-                data = encode_passed_on(datagram)
+                data = encode_relayed(datagram)
                 for target in self._next_hops(now_s):
                     self._send(data, target)
             return
@@ -360,7 +360,7 @@
             del self._relay_clients_s[old]
         clients = [client for client in self._relay_clients_s if client != sender]
         if clients:
-            data = encode_passed_on(datagram)
+            data = encode_relayed(datagram)
             for client in clients:
                 self._send(data, client)
 
@@ -383,7 +383,7 @@
         A zone may start as several parts, each with a hub of its own; any member may be the first
         that learns of another part.
         """
-        if not self._view.membership.introduce(instance, now_s):
+        if not self._view.membership.record_introduction(instance, now_s):
             return
         if self._hub is not None:
             if self._view.zones.hub(instance.availability_zone) is None:
--- a/src/egretrail/gateway/_state_answers.py
+++ b/src/egretrail/gateway/_state_answers.py
@@ -10,16 +10,16 @@
 from result import Err
 
 from egretrail.cluster import (
-    ConfigOutline,
-    OutlineQuestion,
-    PartsQuestion,
-    Question,
+    ConfigManifest,
+    FetchChunks,
+    FetchManifest,
+    FetchMessage,
+    FetchUpstreams,
     Referral,
-    UpstreamsQuestion,
     UpstreamsReply,
-    decode_question,
-    encode_outline,
-    encode_parts,
+    decode_fetch,
+    encode_chunks,
+    encode_manifest,
     encode_referral,
     encode_upstreams,
 )
@@ -72,7 +72,7 @@
         connection_id = self._connections
         try:
             while True:
-                decoded = decode_question(await read_frame(reader, _IDLE_S))
+                decoded = decode_fetch(await read_frame(reader, _IDLE_S))
                 if isinstance(decoded, Err):
                     return
                 write_frame(writer, await self.reply_to(decoded.ok_value, connection_id))
@@ -86,18 +86,18 @@
             with contextlib.suppress(OSError):
                 writer.close()
 
-    async def reply_to(self, message: Question, connection_id: int) -> bytes:
+    async def reply_to(self, message: FetchMessage, connection_id: int) -> bytes:
         """Return the reply to a fetch on the connection with an id."""
         match message:
-            case UpstreamsQuestion():
+            case FetchUpstreams():
                 return self.upstreams_reply(message)
-            case OutlineQuestion():
+            case FetchManifest():
                 return await self._manifest_reply(message, connection_id)
-            case PartsQuestion(wanted):
+            case FetchChunks(wanted):
                 self._slots.renew(connection_id)
                 return self._chunks_reply(wanted)
 
-    def upstreams_reply(self, message: UpstreamsQuestion) -> bytes:
+    def upstreams_reply(self, message: FetchUpstreams) -> bytes:
         """Return the changes of the upstreams since a revision, or the whole list."""
         view = self._view
         revision = view.upstreams.revision
@@ -109,45 +109,47 @@
                 revision,
                 upstreams=list(view.upstreams) if newer and changes is None else None,
                 changes=changes,
-                doubts=view.suspicions() if message.with_doubts else (),
+                suspicions=view.suspicions() if message.with_suspicions else (),
             )
             return encode_upstreams(reply)
 
-        if message.with_doubts:
+        if message.with_suspicions:
             # Suspicions change without a new revision, so this reply is not cached.
             return make()
         # A drop has no new revision; a reply from before it would list what was dropped.
         return self._replies.get((view.upstreams.edition, message), make)
 
-    async def _manifest_reply(self, message: OutlineQuestion, connection_id: int) -> bytes:
-        reply, lacks_much = self._manifest(message.base)
+    async def _manifest_reply(self, message: FetchManifest, connection_id: int) -> bytes:
+        reply, lacks_much = self._manifest(message.base_digest)
         if not lacks_much:
             config = self._view.configs.chunked
-            if config is not None and config.digest == message.base and message.asker:
-                self._slots.add_source(message.asker)
+            if config is not None and config.digest == message.base_digest and message.requester:
+                self._slots.add_source(message.requester)
             return reply
-        source = await self._slots.acquire(connection_id, message.asker, is_hub=message.is_hub)
+        source = await self._slots.acquire(connection_id, message.requester, is_hub=message.is_hub)
         if source is not None:
             return encode_referral(Referral(source))
         # Another version may have come into force while waiting for a slot.
-        return self._manifest(message.base)[0]
+        return self._manifest(message.base_digest)[0]
 
     def _manifest(self, base: int) -> tuple[bytes, bool]:
         """Return the manifest relative to a base, and whether much is missing from that base."""
         config = self._view.configs.chunked
         if config is None:
-            return encode_outline(ConfigOutline(b"", 0, 0, {})), False
+            return encode_manifest(ConfigManifest(b"", 0, 0, {})), False
 
         def make() -> tuple[bytes, bool]:
-            manifest = self._view.configs.manifests.outline(config, base)
-            missing_bytes = sum(len(config.parts[number].packed) for number in manifest.changed)
-            return encode_outline(manifest), missing_bytes > _SMALL_BYTES
+            manifest = self._view.configs.manifests.manifest(config, base)
+            missing_bytes = sum(
+                len(config.chunks[number].packed) for number in manifest.changed_chunks
+            )
+            return encode_manifest(manifest), missing_bytes > _SMALL_BYTES
 
         return self._manifests.get((config.digest, base), make)
 
     def _chunks_reply(self, wanted: Mapping[int, int]) -> bytes:
         config = self._view.configs.chunked
-        chunks = config.parts if config is not None else ()
+        chunks = config.chunks if config is not None else ()
         # Chunks that were replaced since the manifest are left out; the requester fetches a new
         # manifest.
         selected = [
@@ -156,12 +158,12 @@
             if chunks and chunks[number].digest == digest
         ]
         key = tuple(chunk.digest for chunk in selected)
-        return self._replies.get(key, lambda: encode_parts(selected))
+        return self._replies.get(key, lambda: encode_chunks(selected))
 
     def _held_digest(self) -> int:
         config = self._view.configs.chunked
         return 0 if config is None else config.digest
 
     def _zone_of(self, address: str) -> str | None:
-        instance = self._view.membership.named(address)
+        instance = self._view.membership.find_by_address(address)
         return None if instance is None else instance.availability_zone
--- a/src/egretrail/gateway/_state_exchange.py
+++ b/src/egretrail/gateway/_state_exchange.py
@@ -62,7 +62,7 @@
         own_zone = offer.availability_zone == self._settings.availability_zone
         if not own_zone or not is_backed_off(offer.address):
             return offer
-        order = self._view.membership.order(offer.availability_zone)
+        order = self._view.membership.hub_order(offer.availability_zone)
         others = [
             one
             for one in order
--- a/src/egretrail/gateway/_store_sync.py
+++ b/src/egretrail/gateway/_store_sync.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from egretrail.cluster import part_config
+from egretrail.cluster import split_config
 from egretrail.gateway._instance_listing import InstanceListing
 from egretrail.gateway._interfaces import StartSettings, StoreLayout
 from egretrail.gateway._log import EventLog
@@ -359,7 +359,9 @@
             if stored_version is None:
                 stored_version = decoded.ok_value.version
             if decoded.ok_value.version > self._view.config_version:
-                chunked = await in_slices(part_config(decoded.ok_value, self._view.configs.chunked))
+                chunked = await in_slices(
+                    split_config(decoded.ok_value, self._view.configs.chunked)
+                )
                 self._log.event(
                     "config_read",
                     version=decoded.ok_value.version,
--- a/src/egretrail/gateway/_upstreams_fetch.py
+++ b/src/egretrail/gateway/_upstreams_fetch.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from egretrail.cluster import UpstreamsQuestion, UpstreamsReply, decode_upstreams
+from egretrail.cluster import FetchUpstreams, UpstreamsReply, decode_upstreams
 from egretrail.gateway._interfaces import StartSettings
 from egretrail.gateway._peer_streams import PeerStreams, StateOffer
 from egretrail.gateway._peer_turns import ConcurrentFetches
@@ -69,7 +69,7 @@
             if not self._is_newer(offer):
                 return
             known = self._view.upstreams.revision
-            message = UpstreamsQuestion(known, with_doubts=known == 0)
+            message = FetchUpstreams(known, with_suspicions=known == 0)
             async with self._streams.connected(offer.address) as peer:
                 self._apply(offer, await peer.request(message, decode_upstreams))
         except Exception as error:
@@ -94,7 +94,7 @@
         self._postpone_whole()
         try:
             async with self._streams.connected(offer.address) as peer:
-                message = UpstreamsQuestion(0, with_doubts=False)
+                message = FetchUpstreams(0, with_suspicions=False)
                 self._apply(offer, await peer.request(message, decode_upstreams))
         except Exception as error:
             self._streams.record_failure(offer, error)
@@ -109,7 +109,7 @@
     def _apply(self, offer: StateOffer, reply: UpstreamsReply) -> None:
         view = self._view
         source = f"peer {offer.address}"
-        view.adopt_suspicions(reply.doubts)
+        view.adopt_suspicions(reply.suspicions)
         if reply.upstreams is not None:
             self._postpone_whole()
             view.take_upstreams(reply.upstreams, reply.revision, source)
--- a/src/egretrail/gateway/_view.py
+++ b/src/egretrail/gateway/_view.py
@@ -6,16 +6,16 @@
 
 from egretrail.cluster import (
     URGENT_OUTCOMES,
-    Beat,
-    ConfigProof,
+    ChunkedConfig,
+    ConfigFreshness,
     DropReport,
-    Finding,
+    Heartbeat,
     Instance,
     InstanceState,
     LossReport,
     Membership,
-    OwnNews,
-    PartedConfig,
+    OutcomeReport,
+    OutgoingReports,
     Scope,
     Section,
     SendTimes,
@@ -82,12 +82,12 @@
         self._clock = clock
         self._log = log
         self._sequence = 0
-        self._reports = OwnNews()
+        self._reports = OutgoingReports()
         self._largest_fleet = 1
         #: The configuration in force.
         self.configs = ConfigState(clock)
         #: The last moment at which this configuration is known to have been the newest.
-        self.proof = ConfigProof(elapsed_clock or clock)
+        self.proof = ConfigFreshness(elapsed_clock or clock)
         self._heartbeat_times = SendTimes()
         #: The listed upstreams.
         self.upstreams = UpstreamTable()
@@ -112,7 +112,7 @@
         self.quotas = AccountQuotas(settings.quota_terms, rng)
         own_zone = settings.availability_zone
         #: The slots of the zone's upstreams that this instance prefers.
-        self.shares = SlotShares(lambda task: self.membership.rank_for(task, own_zone))
+        self.shares = SlotShares(lambda task: self.membership.task_rank(task, own_zone))
         self.membership.on_change = self.shares.invalidate
         #: Rate limits that upstreams have advertised.
         self.limits = LimitExchange(settings.ip, self._limit_position, self._reports, log)
@@ -219,7 +219,7 @@
 
     def prove_config(self, at_s: float) -> None:
         """Record that no configuration newer than the one in force existed at a moment."""
-        self.proof.proved(at_s)
+        self.proof.confirm_current_at(at_s)
         if not self.proved.is_set() and self.takes_keys:
             self.proved.set()
 
@@ -247,7 +247,7 @@
                 behind_s=behind_s,
             )
 
-    def take_config(self, chunked: PartedConfig, source: str) -> bool:
+    def take_config(self, chunked: ChunkedConfig, source: str) -> bool:
         """Put a configuration in force; return False if the one in force is as new or newer."""
         before, behind_s = self.config_version, self.configs.behind_s
         if not self.configs.apply(chunked):
@@ -286,7 +286,7 @@
         now_s = self._clock()
         known = self.upstreams.records
         reports = [DropReport(name, known[name].revision) for name in upstream_ids if name in known]
-        self._reports.dropped(reports, now_s)
+        self._reports.record_drops(reports, now_s)
         self._apply_drop_reports(reports, "lapse")
         if reports:
             self.on_update(True)
@@ -310,18 +310,18 @@
                 heartbeat = self.zones.acknowledged_sequence()
                 sent_s = None if heartbeat is None else self._heartbeat_times.time_of(heartbeat)
                 self.apply_peer_confirmation(
-                    section.config_version, section.config_proof_age_s, sent_s
+                    section.config_version, section.config_freshness_age_s, sent_s
                 )
         elif section.roster is not None:
             # The roster may name an instance that comes before the followed hub in the zone's
             # order.
             for instance in section.roster.instances:
-                self.membership.introduce(instance, now_s)
+                self.membership.record_introduction(instance, now_s)
         for loss in section.losses:
             self.crashers.record_loss(loss.digest, _loss_name(loss.upstream_key), now_s)
         self._apply_drop_reports(section.dropped, source)
         self.limits.record_reported(section.limits, self._evidence.ids_by_key, source, now_s)
-        for finding in section.findings[known_count:]:
+        for finding in section.outcomes[known_count:]:
             if finding.observer != self._settings.ip:
                 self._evidence.record_reported(finding, now_s)
         for key in section.refusals:
@@ -335,19 +335,19 @@
     def expire(self) -> None:
         """Remove the instances and zones whose messages have stopped."""
         now_s = self._clock()
-        for instance in self.membership.expire(now_s):
+        for instance in self.membership.remove_silent(now_s):
             self._log.event("instance_gone", peer=instance.address, zone=instance.availability_zone)
         for zone in self.zones.expire(now_s):
             self._log.event("zone_silent", zone=zone)
 
-    def next_heartbeat(self) -> Beat:
+    def next_heartbeat(self) -> Heartbeat:
         """Return the next heartbeat of this instance."""
         now_s = self._clock()
-        self._reports.forget_old(now_s)
+        self._reports.discard_expired(now_s)
         self._sequence += 1
-        self._heartbeat_times.sent(self._sequence, self.proof.clock())
+        self._heartbeat_times.record(self._sequence, self.proof.clock())
         sends_freshness = self.needs_proof and self.store_contact
-        heartbeat = Beat(
+        heartbeat = Heartbeat(
             origin=self._settings.ip,
             availability_zone=self._settings.availability_zone,
             incarnation=self.incarnation,
@@ -358,16 +358,16 @@
             upstreams_revision=self.upstreams.revision,
             store_contact=self.store_contact,
             loads={upstream_key(name): n for name, n in self.load.own_counts().items()},
-            first_finding=self._reports.first_finding,
-            findings=self._reports.findings(),
+            first_outcome=self._reports.first_outcome,
+            outcomes=self._reports.outcomes(),
             losses=self._reports.losses(),
             dropped=self._reports.drops(),
             limits=self._reports.limits(now_s),
-            routine=self._reports.take_successes(),
-            repeats=dict(self.repeats.own_counts()),
-            told_repeats=self.zones.known_retries(now_s),
-            config_proof_age_s=self.proof.age_s if sends_freshness else None,
-            heard=self.zones.own_echo() if sends_freshness else None,
+            successes=self._reports.drain_successes(),
+            retries=dict(self.repeats.own_counts()),
+            known_retries=self.zones.known_retries(now_s),
+            config_freshness_age_s=self.proof.age_s if sends_freshness else None,
+            last_section=self.zones.own_echo() if sends_freshness else None,
             accounts=self.quotas.own_reports(now_s),
         )
         self.zones.record_sent(heartbeat, now_s)
@@ -390,14 +390,14 @@
         own_name = self._settings.ip
         self._evidence.record_own(observation, own_name, now_s)
         key = upstream_key(observation.upstream_id)
-        finding = Finding(key, observation.outcome, observation.duration_s, own_name)
+        finding = OutcomeReport(key, observation.outcome, observation.duration_s, own_name)
         if observation.outcome is Outcome.SUCCESS and not suspected:
-            self._reports.succeeded(finding)
+            self._reports.record_success(finding)
         else:
-            self._reports.found(finding, now_s)
+            self._reports.record_outcome(finding, now_s)
         if observation.outcome is Outcome.BROKEN and digest is not None:
             self.crashers.record_loss(digest, _loss_name(key), now_s)
-            self._reports.lost(LossReport(digest, key), now_s)
+            self._reports.record_loss(LossReport(digest, key), now_s)
         self.on_update(observation.outcome in URGENT_OUTCOMES)
 
     def named_limit(self, upstream_id: str, limit_per_s: float | None) -> None:
@@ -492,14 +492,14 @@
 
     def _apply_roster(self, section: Section, now_s: float) -> None:
         zone = section.availability_zone
-        self.membership.keep(zone, now_s)
+        self.membership.extend_zone(zone, now_s)
         if section.roster is not None:
-            self.membership.take_roster(zone, section.roster, now_s)
+            self.membership.apply_roster(zone, section.roster, now_s)
             if zone == self._settings.availability_zone:
                 self.zones.update_ack_index(section.roster, self._settings.ip)
 
     def _trial_rank(self, record: UpstreamRecord) -> int:
-        return self.membership.rank_for(f"trial {record.id}", record.availability_zone)
+        return self.membership.task_rank(f"trial {record.id}", record.availability_zone)
 
     def _upstreams_changed(self, before: dict[str, UpstreamRecord], source: str) -> None:
         self._awaited.record_arrival(self.upstreams.revision)
--- a/src/egretrail/gateway/_zones.py
+++ b/src/egretrail/gateway/_zones.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass, field
 
 from egretrail.cluster import (
-    Beat,
+    Heartbeat,
     RosterSlice,
     Scope,
     Section,
     SectionEcho,
-    ZoneShare,
-    address_part,
-    replace_part,
+    ZonePeers,
+    replace_slice,
+    roster_slice_index,
 )
 from egretrail.dispatch import AccountQuotas, FleetLoad, FleetRetryBudget, RetryCounts
 
@@ -103,18 +103,18 @@
         self._load = load
         self._retry_budget = retry_budget
         self._quotas = quotas
-        self._zone_peers = ZoneShare()
+        self._zone_peers = ZonePeers()
         self._ack_index: int | None = None
         self._zones: dict[str, _Zone] = {}
         self._received: dict[tuple[str, Scope], _ReceivedSections] = {}
 
-    def record_sent(self, heartbeat: Beat, now_s: float) -> None:
+    def record_sent(self, heartbeat: Heartbeat, now_s: float) -> None:
         """Remember a heartbeat of this instance, which the own zone's aggregates will include."""
-        self._zone_peers.sent(heartbeat, now_s)
+        self._zone_peers.record_heartbeat(heartbeat, now_s)
 
     def known_retries(self, now_s: float) -> Mapping[str, RetryCounts]:
         """Return the part of this instance's retry counts that the zone's hub has aggregated."""
-        return self._zone_peers.told_repeats(now_s)
+        return self._zone_peers.known_retries(now_s)
 
     def register_section(self, section: Section, now_s: float) -> int | None:
         """Register a section; return how many of its outcome reports are known.
@@ -123,7 +123,7 @@
         """
         key = (section.hub, section.scope)
         received = self._received.get(key)
-        end = section.first_finding + len(section.findings)
+        end = section.first_outcome + len(section.outcomes)
         silent = received is not None and now_s - received.received_s > _RESTART_SILENCE_S
         if received is None or silent or received.incarnation < section.incarnation:
             self._received[key] = _ReceivedSections(
@@ -135,7 +135,7 @@
         ):
             return None
         received.received_s = now_s
-        skip = max(received.next_outcome - section.first_finding, 0)
+        skip = max(received.next_outcome - section.first_outcome, 0)
         received.next_outcome = max(received.next_outcome, end)
         return skip
 
@@ -146,22 +146,22 @@
             self._apply_own_zone(section, zone, ids_by_key, now_s)
             return
         if section.loads is not None:
-            changed_keys = replace_part(zone.loads, section.loads)
+            changed_keys = replace_slice(zone.loads, section.loads)
             counts = {
                 ids_by_key[key]: zone.loads.get(key, 0) for key in changed_keys if key in ids_by_key
             }
             self._load.update_peer_counts(section.availability_zone, counts, now_s)
         self._quotas.apply_zone_reports(zone.lifetime, section.accounts, now_s)
-        self._record_retries(zone, section.repeats, now_s)
+        self._record_retries(zone, section.retries, now_s)
         zone.has_retry_counts = True
 
     def update_ack_index(self, roster: RosterSlice, own_address: str) -> None:
         """Look up this instance's index in its hub's acknowledgements."""
-        if address_part(own_address, roster.of) != roster.number:
+        if roster_slice_index(own_address, roster.total) != roster.index:
             return
         # An instance that is no longer listed loses its index to another instance.
         self._ack_index = None
-        for instance, ack_index in zip(roster.instances, roster.places, strict=True):
+        for instance, ack_index in zip(roster.instances, roster.ack_indexes, strict=True):
             if instance.address == own_address:
                 self._ack_index = ack_index
 
@@ -178,7 +178,8 @@
         return [
             echo
             for name, zone in self._zones.items()
-            if name != self._own_zone and (echo := self._echo(zone.hub, Scope.ACROSS)) is not None
+            if name != self._own_zone
+            and (echo := self._echo(zone.hub, Scope.CROSS_ZONE)) is not None
         ]
 
     def own_echo(self) -> SectionEcho | None:
@@ -272,25 +273,28 @@
 
     def _reset_own_zone(self) -> None:
         """Discard the state of the previous hub: aggregates and acknowledgement indexes differ."""
-        self._zone_peers.start_anew()
+        self._zone_peers.reset()
         self._load.remove_peer(self._own_zone)
         self._ack_index = None
 
     def _apply_own_zone(
         self, section: Section, zone: _Zone, ids_by_key: Mapping[int, str], now_s: float
     ) -> None:
-        own_before = set(self._zone_peers.own_keys())
-        self._zone_peers.take(section, self._ack_index)
+        own_before = set(self._zone_peers.own_upstream_keys())
+        self._zone_peers.apply_acknowledgement(section, self._ack_index)
         if section.accounts:
             self._quotas.apply_acknowledgement(self._zone_peers.acknowledged_accounts)
             self._quotas.apply_zone_reports(zone.lifetime, section.accounts, now_s)
-        changed_keys = own_before | set(self._zone_peers.own_keys())
-        counts = {**self._zone_peers.of_others(changed_keys), **self._zone_peers.loads(section)}
+        changed_keys = own_before | set(self._zone_peers.own_upstream_keys())
+        counts = {
+            **self._zone_peers.peer_loads(changed_keys),
+            **self._zone_peers.apply_loads(section),
+        }
         reported = {ids_by_key[key]: count for key, count in counts.items() if key in ids_by_key}
         self._load.update_peer_counts(self._own_zone, reported, now_s)
         # Retry counts start at zero with each hub that is followed.
         zone.has_retry_counts = True
-        self._record_retries(zone, self._zone_peers.repeats(), now_s)
+        self._record_retries(zone, self._zone_peers.peer_retries(), now_s)
 
     def _record_retries(self, zone: _Zone, totals: Mapping[str, RetryCounts], now_s: float) -> None:
         for service, total in totals.items():
--- a/src/egretrail/gateway/tests/test_config_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_config_in_trouble.py
@@ -9,7 +9,7 @@
 
 from result import Ok
 
-from egretrail.cluster import PartedConfig, at_once, part_config
+from egretrail.cluster import ChunkedConfig, run_to_completion, split_config
 from egretrail.gateway._log import EventLog
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.gateway.tests.streams import SimulatedStreams
@@ -47,7 +47,7 @@
     """A version that the operators wrote to the store."""
 
     #: The configuration.
-    chunked: PartedConfig
+    chunked: ChunkedConfig
     #: When the first reader applied it.
     at_s: float
 
@@ -58,7 +58,7 @@
 
     fleet: Fleet
     #: The newest configuration in the store.
-    stored: PartedConfig | None = None
+    stored: ChunkedConfig | None = None
     published: dict[int, _Published] = field(default_factory=dict)
     #: Since when each instance has had no failure of its own.
     healthy_since_s: dict[str, float] = field(default_factory=dict)
@@ -79,7 +79,7 @@
         value = json.dumps(config(version, routes)).encode()
         decoded = PlatformLayout().decode_config(value)
         assert isinstance(decoded, Ok)
-        self.stored = at_once(part_config(decoded.ok_value, self.stored))
+        self.stored = run_to_completion(split_config(decoded.ok_value, self.stored))
 
     def start(self, address: str) -> None:
         """Start an instance that knows the addresses listed in the store."""
@@ -93,7 +93,7 @@
     def order(self, zone: int) -> Sequence[str]:
         """Return a zone's instances in the order of succession as its hub."""
         some = next(one for one in self.zone(zone) if one in self.fleet.views)
-        return list(self.fleet.views[some].membership.order(f"z{zone}"))
+        return list(self.fleet.views[some].membership.hub_order(f"z{zone}"))
 
     async def midway(self) -> None:
         """Wait until a third of what the remote zone lacks has been transferred."""
@@ -135,7 +135,7 @@
             for address, view in self.fleet.views.items():
                 self._check_instance(address, view.incarnation, view.configs.chunked)
 
-    def _check_instance(self, address: str, incarnation: int, held: PartedConfig | None) -> None:
+    def _check_instance(self, address: str, incarnation: int, held: ChunkedConfig | None) -> None:
         version = 0 if held is None else held.config.version
         known = self.published.get(version)
         if held is not None and (known is None or held.digest != known.chunked.digest):
--- a/src/egretrail/gateway/tests/test_config_proof.py
+++ b/src/egretrail/gateway/tests/test_config_proof.py
@@ -4,14 +4,14 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from egretrail.cluster import at_once, part_config
+from egretrail.cluster import run_to_completion, split_config
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import ClientAccount, ClientLimits, FleetConfig, key_digest
 
 _REVOCATION_S = 5.0
 _ACCOUNT = ClientAccount("acme", (key_digest(b"k1"),), None, 0.0, 0.0)
-_KEYED = at_once(part_config(FleetConfig(7, [], {}, ClientLimits(), [_ACCOUNT])))
+_KEYED = run_to_completion(split_config(FleetConfig(7, [], {}, ClientLimits(), [_ACCOUNT])))
 
 
 class _Store:
@@ -146,14 +146,18 @@
             await asyncio.sleep(_REVOCATION_S)
             self.assertFalse(any(view.takes_keys for view in fleet.views.values()))
             for view in fleet.views.values():
-                view.take_config(at_once(part_config(FleetConfig(8, [], {}, ClientLimits()))), "t")
+                view.take_config(
+                    run_to_completion(split_config(FleetConfig(8, [], {}, ClientLimits()))), "t"
+                )
             self.assertTrue(all(view.takes_keys for view in fleet.views.values()))
 
         self._run(check)
 
     def test_an_instance_that_lacks_a_version_does_not_apply_its_confirmation(self) -> None:
         async def check(fleet: Fleet, store: _Store) -> None:
-            newer = at_once(part_config(FleetConfig(8, [], {}, ClientLimits(), [_ACCOUNT])))
+            newer = run_to_completion(
+                split_config(FleetConfig(8, [], {}, ClientLimits(), [_ACCOUNT]))
+            )
             behind = next(a for a in fleet.addresses if not fleet.links[a].is_hub)
             for address, view in fleet.views.items():
                 if address != behind:
--- a/src/egretrail/gateway/tests/test_config_state.py
+++ b/src/egretrail/gateway/tests/test_config_state.py
@@ -10,8 +10,8 @@
     InstanceState,
     Scope,
     Section,
-    at_once,
-    part_config,
+    run_to_completion,
+    split_config,
 )
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._view import FleetView
@@ -35,10 +35,10 @@
     """Apply a section of another zone's hub."""
     now_s = asyncio.get_running_loop().time()
     instance = Instance("10.0.1.1", "z1", 1, InstanceState.READY, 1.0)
-    view.membership.introduce(instance, now_s)
-    section = Section(Scope.ACROSS, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 0, 4)
+    view.membership.record_introduction(instance, now_s)
+    section = Section(Scope.CROSS_ZONE, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 0, 4)
     if reads_store:
-        section = Section(Scope.ACROSS, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 1, 4)
+        section = Section(Scope.CROSS_ZONE, "z1", "10.0.1.1", 1, round(now_s * 100) + 1, 1, 5, 1, 4)
     view.apply_section(section, followed=True)
 
 
@@ -97,7 +97,7 @@
             loop = asyncio.get_running_loop()
             log = EventLog("test", descriptor=os.open(os.devnull, os.O_WRONLY))
             view = FleetView(gateway_settings(zone="z0"), 1, loop.time, log, random.Random(1))
-            chunked = at_once(part_config(FleetConfig(1, [], {}, ClientLimits())))
+            chunked = run_to_completion(split_config(FleetConfig(1, [], {}, ClientLimits())))
             view.take_config(chunked, "test")
             await act(view)
             view.expire()
--- a/src/egretrail/gateway/tests/test_executor.py
+++ b/src/egretrail/gateway/tests/test_executor.py
@@ -10,7 +10,7 @@
 
 from result import Ok
 
-from egretrail.cluster import at_once, part_config
+from egretrail.cluster import run_to_completion, split_config
 from egretrail.gateway._executor import RequestExecutor
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
@@ -60,7 +60,7 @@
             document = json.dumps(config(1, _ROUTES, accounts)).encode()
             decoded = PlatformLayout().decode_config(document)
             assert isinstance(decoded, Ok)
-            view.take_config(at_once(part_config(decoded.ok_value)), "test")
+            view.take_config(run_to_completion(split_config(decoded.ok_value)), "test")
             backend = StandInBackend("s", "zone-a", work_s=0.05)
             await backend.start()
             record = UpstreamRecord(
--- a/src/egretrail/gateway/tests/test_hubs_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_hubs_in_trouble.py
@@ -20,7 +20,7 @@
 
 async def _kill_hub_and_next(fleet: Fleet) -> None:
     hub = fleet.hub(0)
-    order = fleet.views[hub].membership.order("z0")
+    order = fleet.views[hub].membership.hub_order("z0")
     for address in order[:2]:
         fleet.kill(address)
 
--- a/src/egretrail/gateway/tests/test_large_config.py
+++ b/src/egretrail/gateway/tests/test_large_config.py
@@ -13,7 +13,7 @@
 
 from result import Ok
 
-from egretrail.cluster import at_once, part_config
+from egretrail.cluster import run_to_completion, split_config
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.gateway.tests.streams import SimulatedStreams
 from egretrail.platform import PlatformLayout
@@ -63,7 +63,7 @@
 async def _apply_config(fleet: Fleet, address: str, value: bytes) -> None:
     decoded = PlatformLayout().decode_config(value)
     assert isinstance(decoded, Ok)
-    fleet.views[address].take_config(at_once(part_config(decoded.ok_value)), "store")
+    fleet.views[address].take_config(run_to_completion(split_config(decoded.ok_value)), "store")
 
 
 class LargeConfigTest(EgretrailTestCase):
--- a/src/egretrail/gateway/tests/test_peers.py
+++ b/src/egretrail/gateway/tests/test_peers.py
@@ -78,7 +78,7 @@
             for address, view in fleet.views.items():
                 self.assertEqual(set(fleet.addresses), fleet.known_instances(address))
                 if address.startswith("10.0.0."):
-                    self.assertEqual(changed, view.membership.order("z0")[-1])
+                    self.assertEqual(changed, view.membership.hub_order("z0")[-1])
             for task in tasks:
                 task.cancel()
 
--- a/src/egretrail/gateway/tests/test_quotas.py
+++ b/src/egretrail/gateway/tests/test_quotas.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from egretrail.cluster import at_once, part_config
+from egretrail.cluster import run_to_completion, split_config
 from egretrail.gateway.tests.fleet import Fleet
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import ClientAccount, ClientLimits, FleetConfig, key_digest
@@ -86,7 +86,9 @@
     ) -> Demand:
         async def run() -> Demand:
             fleet = Fleet(sizes)
-            config = at_once(part_config(FleetConfig(7, [], {}, ClientLimits(), [account])))
+            config = run_to_completion(
+                split_config(FleetConfig(7, [], {}, ClientLimits(), [account]))
+            )
             for address in fleet.addresses:
                 fleet.start(address, fleet.addresses[-3:])
                 fleet.views[address].take_config(config, "test")
--- a/src/egretrail/gateway/tests/test_store_sync.py
+++ b/src/egretrail/gateway/tests/test_store_sync.py
@@ -20,8 +20,8 @@
     Membership,
     Scope,
     Section,
-    at_once,
-    part_config,
+    run_to_completion,
+    split_config,
 )
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peers import PeerLinks
@@ -353,7 +353,7 @@
             setup.store.set_out(True)
             for sequence in range(1, 5):
                 setup.view.apply_section(
-                    Section(Scope.ACROSS, "zone-b", "10.0.0.9", 1, sequence, 1, 0, 1, 1),
+                    Section(Scope.CROSS_ZONE, "zone-b", "10.0.0.9", 1, sequence, 1, 0, 1, 1),
                     followed=True,
                 )
                 await asyncio.sleep(1.0)
@@ -563,7 +563,7 @@
                 decoded = PlatformLayout().decode_config(value)
                 self.assertIs(valid, decoded.is_ok())
                 if valid:
-                    view.take_config(at_once(part_config(decoded.unwrap())), "test")
+                    view.take_config(run_to_completion(split_config(decoded.unwrap())), "test")
                     highest = max(highest, version)
                 in_force = view.config.version if view.config is not None else 0
                 self.assertEqual(highest, in_force)
@@ -641,7 +641,9 @@
             zones = rendezvous_order("read the store", ["z0", "z1", "z2"])
             own, layout = gateway_settings(zone=zones[position]), PlatformLayout()
             view = FleetView(own, 1, loop.time, log, random.Random(1))
-            view.take_config(at_once(part_config(FleetConfig(1, [], {}, ClientLimits()))), "test")
+            view.take_config(
+                run_to_completion(split_config(FleetConfig(1, [], {}, ClientLimits()))), "test"
+            )
             view.take_upstreams([], 5, "test")
             peers = PeerLinks(own, view, log, random.Random(1))
             sync = StoreSync(own, view, FakeStore(), layout, peers, log, random.Random(1))
@@ -652,10 +654,12 @@
                 for number, zone in enumerate(zones):
                     if zone != own.availability_zone:
                         hub = f"10.0.{number}.1"
-                        view.membership.introduce(
+                        view.membership.record_introduction(
                             Instance(hub, zone, 1, InstanceState.READY, 1.0), loop.time()
                         )
-                        section = Section(Scope.ACROSS, zone, hub, 1, sequence, 1, 5, readers, 1)
+                        section = Section(
+                            Scope.CROSS_ZONE, zone, hub, 1, sequence, 1, 5, readers, 1
+                        )
                         view.apply_section(section, followed=True)
 
             await act(sync, view, send_sections)
--- a/src/egretrail/gateway/tests/test_upstream_exchange.py
+++ b/src/egretrail/gateway/tests/test_upstream_exchange.py
@@ -16,7 +16,7 @@
 
 from egretrail.cluster import (
     DropReport,
-    UpstreamsQuestion,
+    FetchUpstreams,
     UpstreamsReply,
     decode_upstreams,
 )
@@ -273,7 +273,7 @@
         if pairs:
             requester, responder = pairs[pick % len(pairs)]
             whole = pick % 7 == 0
-            question = UpstreamsQuestion(0 if whole else known[requester], with_doubts=False)
+            question = FetchUpstreams(0 if whole else known[requester], with_suspicions=False)
             own = self.instances[responder]
             decoded = decode_upstreams(own.exchange.answers.upstreams_reply(question))
             assert isinstance(decoded, Ok)
