--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -99,12 +99,12 @@
             settings = gateway_settings(address, f"z{address.split('.')[2]}")
             rng = random.Random(address)
             view = FleetView(settings, 1, loop.time, log, rng)
-            view.take_upstreams(self.upstreams, 5, "benchmark")
+            view.replace_upstreams(self.upstreams, 5, "benchmark")
             links = SimulatedLinks(settings, view, log, rng)
             links.join(self.network, address)
             links.add_seeds(self.addresses[:8])
             self.views[address] = view
-            self.tasks.append(loop.create_task(links.beat_forever()))
+            self.tasks.append(loop.create_task(links.run()))
             self.tasks.append(loop.create_task(self._requests(view)))
 
     async def fail_upstreams(self) -> None:
@@ -112,7 +112,7 @@
         for upstream in self.rng.sample(self.upstreams, len(self.upstreams)):
             await asyncio.sleep(self.rng.expovariate(_FAILURES_PER_S))
             view = self.views[self.rng.choice(self.addresses)]
-            view.observe(Observation(upstream.id, Outcome.FAILED, 0.01))
+            view.record_outcome(Observation(upstream.id, Outcome.FAILED, 0.01))
             for other in self.views.values():
                 times = self.zone_news_s if other.own_zone == view.own_zone else self.far_news_s
                 self.tasks.append(asyncio.create_task(self._until_known(upstream.id, other, times)))
@@ -132,7 +132,7 @@
             upstream = self.rng.choice(self.upstreams)
             if view.suspicion.health(upstream.id, asyncio.get_running_loop().time()) is not _GOOD:
                 continue
-            view.begin(upstream.id, trial=False)
+            view.record_request_start(upstream.id, trial=False)
             duration_s = _WORK_S * (0.5 + self.rng.random())
             asyncio.get_running_loop().call_later(
                 duration_s, _answered, view, upstream.id, duration_s
@@ -140,8 +140,8 @@
 
 
 def _answered(view: FleetView, upstream_id: str, duration_s: float) -> None:
-    view.observe(Observation(upstream_id, Outcome.SUCCESS, duration_s))
-    view.end(upstream_id)
+    view.record_outcome(Observation(upstream_id, Outcome.SUCCESS, duration_s))
+    view.record_request_end(upstream_id)
 
 
 async def measure(size: int, upstreams: int, seed: int) -> Figures:
@@ -157,13 +157,13 @@
     for task in [failures, *fleet.tasks]:
         task.cancel()
     traffic = fleet.network.traffic
-    datagrams = traffic.datagrams_inside + traffic.datagrams_across
-    received_bytes = traffic.bytes_inside + traffic.bytes_across
+    datagrams = traffic.datagrams_within_zone + traffic.cross_zone_datagrams
+    received_bytes = traffic.bytes_within_zone + traffic.cross_zone_bytes
     return Figures(
         instances=size,
         datagrams_per_s=datagrams / size / _MEASURE_S,
         received_bytes_per_s=received_bytes / size / _MEASURE_S,
-        across_bytes_per_s=traffic.bytes_across / _MEASURE_S,
+        across_bytes_per_s=traffic.cross_zone_bytes / _MEASURE_S,
         cpu_share=cpu_s / size / _MEASURE_S,
         zone_news_s=_percentile_99(fleet.zone_news_s),
         far_news_s=_percentile_99(fleet.far_news_s),
--- a/src/egretrail/gateway/_attempts.py
+++ b/src/egretrail/gateway/_attempts.py
@@ -110,7 +110,7 @@
             self._record_advertised_limit(upstream_id, received)
         if response_kind is AnswerKind.SERVED:
             self._record_outcome(upstream_id, Outcome.SUCCESS, started_s)
-            self._view.crashers.clear(pending.digest)
+            self._view.crashing_requests.clear(pending.digest)
             return AttemptResult(Disposition.SERVED, received)
         if response_kind is AnswerKind.NOT_RUN:
             self._record_outcome(upstream_id, Outcome.SHED, started_s)
@@ -137,7 +137,7 @@
             # The limit that was advertised before stays in force, to protect the upstream.
             self._log.event("limit_refused", upstream=upstream_id, cause=advertised.err_value)
             return
-        self._view.named_limit(upstream_id, advertised.ok_value)
+        self._view.record_advertised_limit(upstream_id, advertised.ok_value)
 
     def _count_cross_zone_bytes(
         self, upstream: UpstreamRecord, direction: str, size_bytes: int
@@ -159,5 +159,5 @@
         digest: RequestDigest | None = None,
     ) -> None:
         duration_s = self._loop.time() - started_s
-        self._view.observe(Observation(upstream_id, outcome, duration_s), digest)
+        self._view.record_outcome(Observation(upstream_id, outcome, duration_s), digest)
         self._metrics.attempted(outcome.name.lower(), duration_s)
--- a/src/egretrail/gateway/_config_fetch.py
+++ b/src/egretrail/gateway/_config_fetch.py
@@ -14,6 +14,7 @@
     decode_chunks,
     decode_manifest,
 )
+from egretrail.gateway._concurrent_fetches import ConcurrentFetches
 from egretrail.gateway._interfaces import StartSettings
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peer_streams import (
@@ -23,7 +24,6 @@
     PeerStreams,
     StateOffer,
 )
-from egretrail.gateway._peer_turns import ConcurrentFetches
 from egretrail.gateway._upstreams_fetch import FETCH_SPREAD_S
 from egretrail.gateway._view import FleetView
 
@@ -177,7 +177,7 @@
             config = await self._collect(peer, manifest)
             if config is None:
                 continue
-            if self._view.take_config(config, f"peer {address}"):
+            if self._view.apply_config(config, f"peer {address}"):
                 # The peer may now refer others to this instance.
                 peer.send(FetchManifest(config.digest, self._settings.ip, is_hub))
                 self._fetches.cancel(keep=asyncio.current_task())
--- a/src/egretrail/gateway/_executor.py
+++ b/src/egretrail/gateway/_executor.py
@@ -90,12 +90,14 @@
             async with asyncio.timeout(_START_CONFIG_WAIT_S):
                 await view.serving.wait()
                 if self._awaits_freshness():
-                    await view.proved.wait()
+                    await view.config_confirmed.wait()
 
     def _awaits_freshness(self) -> bool:
         view = self._view
         has_just_started = self._loop.time() - self._started_s < _START_FRESHNESS_WAIT_S
-        return view.needs_proof and has_just_started and not view.proved.is_set()
+        return (
+            view.requires_fresh_config and has_just_started and not view.config_confirmed.is_set()
+        )
 
     def _admit(self, request: Request, metadata: CallerTerms) -> PendingRequest | Answer:
         view = self._view
@@ -104,7 +106,7 @@
             return self._contract.not_run(_STARTING_RETRY_S)
         path = request.target.partition(b"?")[0].decode("latin-1")
         route = view.configs.routes.find(metadata.host, path)
-        if route is None and not view.knows_config_is_current:
+        if route is None and not view.is_config_current:
             self._record_refusal(metadata, "", "config_behind", _CONFIG_RETRY_S)
             return self._contract.not_run(_CONFIG_RETRY_S)
         if route is None:
@@ -123,14 +125,14 @@
             account = view.configs.accounts.find(metadata.api_key) if metadata.api_key else None
             if account is None:
                 return self._reject_api_key(metadata, route)
-            if not view.takes_keys:
+            if not view.accepts_keys:
                 self._record_refusal(
                     metadata,
                     route.name,
                     "key_unproved",
                     _UNCONFIRMED_RETRY_S,
                     account=account.name,
-                    proof_age_s=view.proof.age_s,
+                    proof_age_s=view.config_freshness.age_s,
                 )
                 return self._contract.not_run(_UNCONFIRMED_RETRY_S)
             excess = view.admit_to_quota(account)
@@ -147,11 +149,11 @@
                 return self._contract.over_quota(excess.retry_after_s)
         service = choose_service(route, self._rng)
         now_s = self._loop.time()
-        view.repeats.record_request(service, now_s)
+        view.retry_budget.record_request(service, now_s)
         digest = request_digest(
             (request.method, metadata.host.encode(), request.target, request.body)
         )
-        if view.crashers.is_blocked(digest, now_s):
+        if view.crashing_requests.is_blocked(digest, now_s):
             self._record_refusal(metadata, route.name, "crashes_upstreams", _CRASHING_RETRY_S)
             return self._contract.not_run(_CRASHING_RETRY_S)
         wait_s = metadata.wait_s if metadata.wait_s is not None else _DEFAULT_WAIT_S
@@ -165,7 +167,7 @@
         therefore not give it.
         """
         view = self._view
-        if not view.knows_config_is_current:
+        if not view.is_config_current:
             self._record_refusal(metadata, route.name, "config_behind", _CONFIG_RETRY_S)
             return self._contract.not_run(_CONFIG_RETRY_S)
         self._log.event(
@@ -188,7 +190,9 @@
                     choice = running.pop(task)
                     result = task.result()
                     if result.disposition is Disposition.SERVED and result.received is not None:
-                        self._view.sizes.record(pending.route.name, len(result.received.body))
+                        self._view.response_sizes.record(
+                            pending.route.name, len(result.received.body)
+                        )
                         return self._contract.answer(result.received), "served"
                     self._record_failed_attempt(pending, choice, result)
                     if self._may_retry_after_failure(pending, result):
@@ -247,7 +251,7 @@
             is_retryable=pending.is_retryable
             and pending.send_count + 1 < pending.route.max_attempts,
             urgent_objective_s=self._urgent_objective_s(pending),
-            response_bytes=self._view.sizes.mean_bytes(pending.route.name),
+            response_bytes=self._view.response_sizes.mean_bytes(pending.route.name),
             spare_only=spare_only,
             excluded=pending.tried,
             connected=self._pool.idle_upstreams(),
@@ -257,7 +261,7 @@
         if isinstance(choice, Refusal):
             return choice
         if pending.send_count > 0:
-            self._view.repeats.record_retry(pending.service, now_s)
+            self._view.retry_budget.record_retry(pending.service, now_s)
         if pending.account is not None and not pending.is_charged:
             pending.is_charged = True
             self._view.quotas.record_send(pending.account, now_s)
@@ -278,10 +282,10 @@
             left_s=query.remaining_s,
             upstreams_revision=self._view.upstreams.revision,
         )
-        self._view.begin(choice.upstream.id, trial=choice.is_trial)
+        self._view.record_request_start(choice.upstream.id, trial=choice.is_trial)
         task = self._loop.create_task(self._attempt_runner.run(pending, choice.upstream))
         # A callback, since a task that is cancelled before its first step runs none of its code.
-        task.add_done_callback(lambda _: self._view.end(choice.upstream.id))
+        task.add_done_callback(lambda _: self._view.record_request_end(choice.upstream.id))
         running[task] = choice
         return None
 
@@ -302,7 +306,7 @@
     def _may_retry(self, pending: PendingRequest) -> bool:
         if pending.send_count >= pending.route.max_attempts:
             return False
-        return self._view.permits_repeat(pending.service)
+        return self._view.permits_retry(pending.service)
 
     def _record_failed_attempt(
         self, pending: PendingRequest, choice: Choice, result: AttemptResult
--- a/src/egretrail/gateway/_hub_links.py
+++ b/src/egretrail/gateway/_hub_links.py
@@ -171,11 +171,11 @@
             view.config_version,
             view.upstreams.revision,
             config_freshness_age_s=view.reported_freshness_age_s(),
-            received_sections=view.zones.echoes() if view.needs_proof else (),
+            received_sections=view.zones.echoes() if view.requires_fresh_config else (),
         )
 
     def _record_sent(self, scope: Scope, sections: Sequence[Section]) -> None:
-        now_s = self._view.proof.clock()
+        now_s = self._view.config_freshness.clock()
         for section in sections:
             self._sent[scope].record(section.sequence, now_s)
 
--- a/src/egretrail/gateway/_named_limits.py
+++ b/src/egretrail/gateway/_limit_exchange.py
@@ -23,12 +23,12 @@
         self._reports = reports
         self._log = log
         #: The limits, and this instance's shares of them.
-        self.upstreams = AdvertisedLimits(position_of)
+        self.limits = AdvertisedLimits(position_of)
 
     def record_own(self, upstream_id: str, limit_per_s: float | None, now_s: float) -> bool:
         """Record the limit in an answer to this instance; return whether it must be reported."""
-        before = self.upstreams.limit_per_s(upstream_id)
-        advertised = self.upstreams.record_advertised(upstream_id, limit_per_s, now_s)
+        before = self.limits.limit_per_s(upstream_id)
+        advertised = self.limits.record_advertised(upstream_id, limit_per_s, now_s)
         if advertised is None:
             return False
         self._log_change(advertised, before, self._own_address)
@@ -47,9 +47,9 @@
             upstream_id = ids_by_key.get(report.upstream_key)
             if upstream_id is None:
                 continue
-            before = self.upstreams.limit_per_s(upstream_id)
+            before = self.limits.limit_per_s(upstream_id)
             advertised = AdvertisedLimit(upstream_id, report.limit_per_s, now_s - report.age_s)
-            if self.upstreams.apply_peer_limit(advertised, now_s):
+            if self.limits.apply_peer_limit(advertised, now_s):
                 self._log_change(advertised, before, source)
 
     def _log_change(self, advertised: AdvertisedLimit, before: float | None, source: str) -> None:
--- a/src/egretrail/gateway/_evidence.py
+++ b/src/egretrail/gateway/_outcome_recorder.py
@@ -59,12 +59,12 @@
         if observation.outcome is Outcome.SHED:
             self._refused_s[observation.upstream_id] = now_s
 
-    def record_reported(self, finding: OutcomeReport, now_s: float) -> None:
+    def record_reported(self, report: OutcomeReport, now_s: float) -> None:
         """Record an outcome that another instance reported."""
-        upstream_id = self.ids_by_key.get(finding.upstream_key)
+        upstream_id = self.ids_by_key.get(report.upstream_key)
         if upstream_id is not None:
-            observation = Observation(upstream_id, finding.outcome, finding.duration_s)
-            self._record(observation, finding.observer, now_s)
+            observation = Observation(upstream_id, report.outcome, report.duration_s)
+            self._record(observation, report.observer, now_s)
 
     def record_reported_refusal(self, key: int, observer: str, now_s: float) -> None:
         """Record that an upstream recently refused a request of some instance."""
--- a/src/egretrail/gateway/_peers.py
+++ b/src/egretrail/gateway/_peers.py
@@ -92,7 +92,7 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
         #: Fetches upstreams and configurations from peers.
-        self.state = StateExchange(settings, view, log, rng)
+        self.state_exchange = StateExchange(settings, view, log, rng)
         self._election = HubElection(settings.ip, self._loop.time())
         self._hub: HubLinks | None = None
         #: How often this process became the hub; aggregates and their numbers restart each time.
@@ -108,8 +108,8 @@
         self._relay_clients_s: dict[str, float] = {}
         self._transport: asyncio.DatagramTransport | None = None
         #: Bytes sent to other zones by kind of message, for the metrics.
-        self.bytes_across: Counter[str] = Counter()
-        self._introducer = Introducer(view, self._send_now, self.bytes_across)
+        self.cross_zone_bytes: Counter[str] = Counter()
+        self._introducer = Introducer(view, self._send_now, self.cross_zone_bytes)
         view.on_update = self._schedule_heartbeat
 
     async def open(self) -> None:
@@ -119,9 +119,9 @@
             lambda: _Datagrams(self), local_addr=address
         )
         self._transport = transport
-        await self.state.open()
+        await self.state_exchange.open()
 
-    async def beat_forever(self) -> None:
+    async def run(self) -> None:
         """Send heartbeats, remove silent instances, and take or give up the hub role."""
         while True:
             self._tick()
@@ -135,7 +135,7 @@
         """Set the additional seeds: instances that the store lists."""
         self._extra_seeds = [a for a in addresses if a != self._settings.ip]
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply changed settings."""
         self._settings = settings
 
@@ -223,7 +223,7 @@
                 self._view.incarnation + self._hub_terms,
                 self._send_now,
                 self._apply_own_hub_section,
-                self.bytes_across,
+                self.cross_zone_bytes,
             )
         elif not should_act and self._hub is not None:
             self._log.event("hub_stopped", follows=self._election.hub)
@@ -262,7 +262,7 @@
             heartbeat.config_version,
             heartbeat.upstreams_revision,
         )
-        self.state.fetch_if_newer(offer, at_once=self._hub is not None)
+        self.state_exchange.fetch_if_newer(offer, at_once=self._hub is not None)
 
     def _relay_to_hub(self, heartbeat: Heartbeat, hops: int, sender: str, now_s: float) -> None:
         """Relay a heartbeat whose sender cannot reach the hub or knows none."""
@@ -350,7 +350,7 @@
             section.config_version,
             section.upstreams_revision,
         )
-        self.state.fetch_if_newer(offer, at_once=self._hub is not None)
+        self.state_exchange.fetch_if_newer(offer, at_once=self._hub is not None)
 
     def _relay_to_clients(self, datagram: SectionsDatagram, sender: str) -> None:
         now_s = self._loop.time()
@@ -375,7 +375,7 @@
             introduction.config_version,
             introduction.upstreams_revision,
         )
-        self.state.fetch_if_newer(offer, at_once=self._hub is not None)
+        self.state_exchange.fetch_if_newer(offer, at_once=self._hub is not None)
 
     def _introduce(self, instance: Instance, now_s: float) -> None:
         """Record an instance that a peer reported, and report one of the own zone to the hub.
--- a/src/egretrail/gateway/_process.py
+++ b/src/egretrail/gateway/_process.py
@@ -86,7 +86,7 @@
         self._metrics = GatewayMetrics()
         self._view = FleetView(settings, incarnation, loop.time, self.log, rng, _elapsed_s)
         self._pool = UpstreamConnectionPool()
-        self._view.on_upstreams = self._pool.retain_only
+        self._view.on_upstreams_changed = self._pool.retain_only
         self._store = platform.open_store(settings)
         self._peers = PeerLinks(settings, self._view, self.log, rng)
         self._sync = StoreSync(
@@ -114,7 +114,7 @@
         gc.collect()
         gc.freeze()
         tasks = [
-            self._loop.create_task(self._run_guarded("peers", self._peers.beat_forever())),
+            self._loop.create_task(self._run_guarded("peers", self._peers.run())),
             self._loop.create_task(self._run_guarded("store", self._sync.run())),
             self._loop.create_task(self._run_guarded("housekeeping", self._run_housekeeping())),
         ]
@@ -126,7 +126,7 @@
         self.log.event(
             "stop",
             store_calls=self._store.calls_total,
-            bytes_across=sum(self._peers.bytes_across.values()),
+            bytes_across=sum(self._peers.cross_zone_bytes.values()),
             connections_opened=self._pool.opened_total,
         )
         self.log.flush()
@@ -192,20 +192,20 @@
         gauges = {
             "members": float(self._view.membership.size()),
             "upstreams": float(len(self._view.upstreams.records)),
-            "upstreams_limited": float(self._view.limits.upstreams.count()),
+            "upstreams_limited": float(self._view.limit_exchange.limits.count()),
             "config_version": float(self._view.config_version),
             "config_behind_seconds": self._view.configs.behind_s,
-            "state_fetched_bytes_total": float(self._peers.state.streams.fetched_bytes),
-            "state_fetches_failed_total": float(self._peers.state.streams.fetches_failed),
+            "state_fetched_bytes_total": float(self._peers.state_exchange.streams.fetched_bytes),
+            "state_fetches_failed_total": float(self._peers.state_exchange.streams.fetches_failed),
             "store_contact": float(self._view.store_contact),
-            "config_proof_age_seconds": self._view.proof.age_s,
+            "config_proof_age_seconds": self._view.config_freshness.age_s,
             "upstream_connections_opened_total": float(self._pool.opened_total),
             "log_lines_suppressed_total": float(self.log.suppressed_total),
         }
-        for kind, size_bytes in self._peers.bytes_across.items():
+        for kind, size_bytes in self._peers.cross_zone_bytes.items():
             gauges[f'peer_bytes_across_zones_total{{kind="{kind}"}}'] = float(size_bytes)
         known_share = self._view.known_share()
-        for service, use in self._view.repeats.usage(self._loop.time(), known_share).items():
+        for service, use in self._view.retry_budget.usage(self._loop.time(), known_share).items():
             gauges[f'repeats_in_window{{service="{service}"}}'] = float(use.retries)
             gauges[f'repeats_allowed{{service="{service}"}}'] = use.allowed
         return Answer(200, self._metrics.text(gauges), [(b"Content-Type", b"text/plain")])
@@ -216,7 +216,7 @@
             Candidate(f"{instance.address}:{port}", instance.availability_zone, instance.state)
             for instance in self._view.membership.instances()
         ]
-        accepts_clients = self._view.ready and self._view.takes_keys
+        accepts_clients = self._view.ready and self._view.accepts_keys
         own_state = InstanceState.READY if accepts_clients else InstanceState.STARTING
         own_zone = self._settings.availability_zone
         return [*candidates, Candidate(self._settings.traffic_address, own_zone, own_state)]
@@ -253,8 +253,8 @@
             settings = replace(settings, stop_grace_s=shorter_grace_s)
         self._settings = settings
         self._body_budget.set_limit(_body_budget_bytes(settings))
-        self._view.take_settings(settings)
-        self._peers.take_settings(settings)
+        self._view.apply_settings(settings)
+        self._peers.apply_settings(settings)
         if settings.store_address != before.store_address:
             old, self._store = self._store, self._platform.open_store(settings)
             self._store.calls_total = old.calls_total
--- a/src/egretrail/gateway/_state_answers.py
+++ b/src/egretrail/gateway/_state_answers.py
@@ -23,8 +23,8 @@
     encode_referral,
     encode_upstreams,
 )
-from egretrail.gateway._fetch_places import TransferSlots
 from egretrail.gateway._frames import read_frame, write_frame
+from egretrail.gateway._transfer_slots import TransferSlots
 from egretrail.gateway._view import FleetView
 
 T = TypeVar("T")
--- a/src/egretrail/gateway/_store_sync.py
+++ b/src/egretrail/gateway/_store_sync.py
@@ -209,7 +209,7 @@
             if not self._view.store_contact or not self.should_read():
                 continue
             check += 1
-            confirms = self._view.needs_proof and check % _CONFIRM_EVERY == 0
+            confirms = self._view.requires_fresh_config and check % _CONFIRM_EVERY == 0
             failure = await self._with_liveness_timeout(
                 self._confirm_config() if confirms else self._read_stale()
             )
@@ -231,7 +231,7 @@
         """Confirm the configuration as current by a watch for changes up to now."""
         if self._config_revision is None:
             return await self._read_stale()
-        sent_s = self._view.proof.clock()
+        sent_s = self._view.config_freshness.clock()
         path = self._layout.config_path
         watched = await self._store.watch(path, self._config_revision, _CONFIRM_WAIT_S)
         if isinstance(watched, Err):
@@ -275,7 +275,7 @@
         configs = self._view.configs
         configs.reaches_store = False
         self._config_revision = None
-        sent_s = self._view.proof.clock()
+        sent_s = self._view.config_freshness.clock()
         read = await self._store.snapshot(self._layout.config_path)
         if isinstance(read, Err):
             return read.err_value
@@ -285,7 +285,7 @@
         await self._apply_config_answer(read.ok_value.entries, revision, sent_s)
         configs.reaches_store = True
         while self.should_read():
-            sent_s = self._view.proof.clock()
+            sent_s = self._view.config_freshness.clock()
             watched = await self._store.watch(self._layout.config_path, revision, _WATCH_S)
             if isinstance(watched, Err):
                 configs.reaches_store = False
@@ -308,7 +308,7 @@
         self._config_revision = max(self._config_revision or 0, revision)
         is_newest = self._stored_version >= self._view.config_version
         if is_newest and sent_s >= self._confirms_from_s:
-            self._view.prove_config(sent_s)
+            self._view.confirm_config_current(sent_s)
 
     async def _follow_upstreams(self) -> PlatformFailure | None:
         """Read the upstreams and follow their changes until a call fails."""
@@ -326,7 +326,7 @@
         gone = {record.name for record in self._view.upstreams} - records.keys()
         if revision >= self._view.upstreams.revision:
             self._retain_vanished(gone, records)
-        self._view.take_upstreams(records.values(), revision, "store")
+        self._view.replace_upstreams(records.values(), revision, "store")
         while self.should_read():
             watched = await self._store.watch(prefix, revision, _WATCH_S)
             if isinstance(watched, Err):
@@ -369,7 +369,7 @@
                     size_bytes=len(value),
                     prepare_s=self._loop.time() - arrived_s,
                 )
-                self._view.take_config(chunked, "store")
+                self._view.apply_config(chunked, "store")
             break
         if stored_version is not None:
             self._stored_version = stored_version
@@ -465,7 +465,7 @@
             return
         self._log.event("store_restored", era=era, before=before)
         self._expiry_until_s = self._loop.time() + _GRACE_S
-        self._confirms_from_s = self._view.proof.clock() + _RESTORE_SETTLE_S
+        self._confirms_from_s = self._view.config_freshness.clock() + _RESTORE_SETTLE_S
         self._stored_version = 0
         self._listing.invalidate()
         self._restart_reads()
--- a/src/egretrail/gateway/_upstreams_fetch.py
+++ b/src/egretrail/gateway/_upstreams_fetch.py
@@ -4,9 +4,9 @@
 import random
 
 from egretrail.cluster import FetchUpstreams, UpstreamsReply, decode_upstreams
+from egretrail.gateway._concurrent_fetches import ConcurrentFetches
 from egretrail.gateway._interfaces import StartSettings
 from egretrail.gateway._peer_streams import PeerStreams, StateOffer
-from egretrail.gateway._peer_turns import ConcurrentFetches
 from egretrail.gateway._view import FleetView
 
 #: Upstreams of another zone's instance are fetched only if no instance of the own zone has supplied
@@ -112,6 +112,6 @@
         view.adopt_suspicions(reply.suspicions)
         if reply.upstreams is not None:
             self._postpone_whole()
-            view.take_upstreams(reply.upstreams, reply.revision, source)
+            view.replace_upstreams(reply.upstreams, reply.revision, source)
         if reply.changes is not None:
             view.apply_upstream_changes(dict(reply.changes), reply.revision, source)
--- a/src/egretrail/gateway/_view.py
+++ b/src/egretrail/gateway/_view.py
@@ -42,11 +42,11 @@
 )
 from egretrail.gateway._awaited_upstreams import AwaitedUpstreams
 from egretrail.gateway._config_state import ConfigState
-from egretrail.gateway._evidence import OutcomeRecorder
 from egretrail.gateway._interfaces import GatewaySettings
+from egretrail.gateway._limit_exchange import LimitExchange, limit_position
 from egretrail.gateway._log import EventLog
-from egretrail.gateway._named_limits import LimitExchange, limit_position
-from egretrail.gateway._zones import ZoneAggregates
+from egretrail.gateway._outcome_recorder import OutcomeRecorder
+from egretrail.gateway._zone_aggregates import ZoneAggregates
 from egretrail.traffic import (
     ClientAccount,
     FleetConfig,
@@ -87,7 +87,7 @@
         #: The configuration in force.
         self.configs = ConfigState(clock)
         #: The last moment at which this configuration is known to have been the newest.
-        self.proof = ConfigFreshness(elapsed_clock or clock)
+        self.config_freshness = ConfigFreshness(elapsed_clock or clock)
         self._heartbeat_times = SendTimes()
         #: The listed upstreams.
         self.upstreams = UpstreamTable()
@@ -98,14 +98,14 @@
         self.load = FleetLoad()
         #: Typical durations of work.
         self.durations = ServiceDurations()
-        #: Typical sizes of answers.
-        self.sizes = ResponseSizes()
+        #: Typical sizes of responses.
+        self.response_sizes = ResponseSizes()
         #: Suspicions about upstreams.
         self.suspicion = SuspicionTable(settings.ip)
         #: Requests that crash upstreams.
-        self.crashers = CrashingRequests()
+        self.crashing_requests = CrashingRequests()
         #: The remaining retry budget.
-        self.repeats = FleetRetryBudget(
+        self.retry_budget = FleetRetryBudget(
             settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack, clock()
         )
         #: The remaining quotas of client accounts.
@@ -115,24 +115,26 @@
         self.shares = SlotShares(lambda task: self.membership.task_rank(task, own_zone))
         self.membership.on_change = self.shares.invalidate
         #: Rate limits that upstreams have advertised.
-        self.limits = LimitExchange(settings.ip, self._limit_position, self._reports, log)
+        self.limit_exchange = LimitExchange(settings.ip, self._limit_position, self._reports, log)
         #: Chooses upstreams.
         self.placement = Placement(
             settings.availability_zone,
             self.load,
             self.durations,
             self.suspicion,
-            TrialScheduler(self.load, self.suspicion, self._trial_rank, self.repeats.request_rate),
-            limits=self.limits.upstreams,
+            TrialScheduler(
+                self.load, self.suspicion, self._trial_rank, self.retry_budget.request_rate
+            ),
+            limits=self.limit_exchange.limits,
             has_slot_share=self.shares.has_share,
             rng=rng,
         )
-        self._evidence = OutcomeRecorder(
+        self._outcome_recorder = OutcomeRecorder(
             self.upstreams, self.load, self.durations, self.suspicion, self.placement, log
         )
         #: The aggregates that the hubs of the zones send.
         self.zones = ZoneAggregates(
-            settings.availability_zone, self.load, self.repeats, self.quotas
+            settings.availability_zone, self.load, self.retry_budget, self.quotas
         )
         #: Whether this instance's last call to the store was answered.
         self.store_contact = False
@@ -142,17 +144,17 @@
         #: served.
         self.serving = asyncio.Event()
         #: Set once the configuration is confirmed as current, so that keys can be accepted.
-        self.proved = asyncio.Event()
+        self.config_confirmed = asyncio.Event()
         #: Called when there is an update for other instances; the argument is True if it is urgent.
         self.on_update: Callable[[bool], None] = lambda urgent: None
         #: Called with the ids of all listed upstreams after each change of the list.
-        self.on_upstreams: Callable[[set[str]], None] = lambda listed: None
+        self.on_upstreams_changed: Callable[[set[str]], None] = lambda listed: None
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply changed settings; the next heartbeat reports the capacity."""
         self._settings = settings
         self.membership.set_own_capacity(settings.capacity)
-        self.repeats.set_bounds(
+        self.retry_budget.set_bounds(
             settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack, self._clock()
         )
         self.quotas.set_terms(settings.quota_terms)
@@ -179,7 +181,7 @@
         return self.config_version > 0 and self.upstreams.revision > 0 and not self.leaving
 
     @property
-    def knows_config_is_current(self) -> bool:
+    def is_config_current(self) -> bool:
         """Whether no newer configuration is known, and this instance would have learned of one."""
         fleet_reachable = self.others_reach_store() or self.known_share() > _FLEET_SHARE
         return self.configs.is_current(fleet_reachable=fleet_reachable)
@@ -190,21 +192,21 @@
         return self.configs.accounts is not None
 
     @property
-    def needs_proof(self) -> bool:
+    def requires_fresh_config(self) -> bool:
         """Whether keys are accepted only while the configuration is confirmed as current."""
         return self._settings.revocation_s is not None and self.configs.accounts is not None
 
     @property
-    def takes_keys(self) -> bool:
+    def accepts_keys(self) -> bool:
         """Whether the configuration was confirmed recently enough to accept its keys."""
         limit_s = self._settings.revocation_s
         if limit_s is None or self.configs.accounts is None:
             return True
-        return self.proof.age_s < limit_s - _REVOCATION_MARGIN_S
+        return self.config_freshness.age_s < limit_s - _REVOCATION_MARGIN_S
 
     def reported_freshness_age_s(self) -> float | None:
         """Return the age of the last confirmation for other instances; None if none is required."""
-        return self.proof.age_s if self.needs_proof else None
+        return self.config_freshness.age_s if self.requires_fresh_config else None
 
     def apply_peer_confirmation(
         self, config_version: int, age_s: float | None, sent_s: float | None
@@ -215,13 +217,13 @@
         unknown.
         """
         if age_s is not None and sent_s is not None and config_version <= self.config_version:
-            self.prove_config(sent_s - age_s)
+            self.confirm_config_current(sent_s - age_s)
 
-    def prove_config(self, at_s: float) -> None:
+    def confirm_config_current(self, at_s: float) -> None:
         """Record that no configuration newer than the one in force existed at a moment."""
-        self.proof.confirm_current_at(at_s)
-        if not self.proved.is_set() and self.takes_keys:
-            self.proved.set()
+        self.config_freshness.confirm_current_at(at_s)
+        if not self.config_confirmed.is_set() and self.accepts_keys:
+            self.config_confirmed.set()
 
     def set_store_contact(self, contact: bool) -> None:
         """Record whether the store answers this instance, and notify the others of a change.
@@ -247,7 +249,7 @@
                 behind_s=behind_s,
             )
 
-    def take_config(self, chunked: ChunkedConfig, source: str) -> bool:
+    def apply_config(self, chunked: ChunkedConfig, source: str) -> bool:
         """Put a configuration in force; return False if the one in force is as new or newer."""
         before, behind_s = self.config_version, self.configs.behind_s
         if not self.configs.apply(chunked):
@@ -265,7 +267,9 @@
         self.on_update(True)
         return True
 
-    def take_upstreams(self, records: Iterable[UpstreamRecord], revision: int, source: str) -> bool:
+    def replace_upstreams(
+        self, records: Iterable[UpstreamRecord], revision: int, source: str
+    ) -> bool:
         """Replace the whole list of upstreams; return False if the known list is newer."""
         before = dict(self.upstreams.records)
         if not self.upstreams.replace(records, revision):
@@ -303,7 +307,7 @@
             return False
         source = f"peer {section.hub}"
         if followed:
-            self.zones.apply_section(section, self._evidence.ids_by_key, now_s)
+            self.zones.apply_section(section, self._outcome_recorder.ids_by_key, now_s)
             self._largest_fleet = max(self._largest_fleet, self.zones.instances(now_s))
             self._apply_roster(section, now_s)
             if section.scope is Scope.ZONE:
@@ -318,18 +322,20 @@
             for instance in section.roster.instances:
                 self.membership.record_introduction(instance, now_s)
         for loss in section.losses:
-            self.crashers.record_loss(loss.digest, _loss_name(loss.upstream_key), now_s)
+            self.crashing_requests.record_loss(loss.digest, _loss_name(loss.upstream_key), now_s)
         self._apply_drop_reports(section.dropped, source)
-        self.limits.record_reported(section.limits, self._evidence.ids_by_key, source, now_s)
-        for finding in section.outcomes[known_count:]:
-            if finding.observer != self._settings.ip:
-                self._evidence.record_reported(finding, now_s)
+        self.limit_exchange.record_reported(
+            section.limits, self._outcome_recorder.ids_by_key, source, now_s
+        )
+        for report in section.outcomes[known_count:]:
+            if report.observer != self._settings.ip:
+                self._outcome_recorder.record_reported(report, now_s)
         for key in section.refusals:
-            self._evidence.record_reported_refusal(key, section.hub, now_s)
+            self._outcome_recorder.record_reported_refusal(key, section.hub, now_s)
         changed = section.changed
         for key, duration_s in zip(changed.keys, changed.durations_s, strict=True):
             if duration_s:
-                self._evidence.record_reported_successes(key, duration_s, now_s)
+                self._outcome_recorder.record_reported_successes(key, duration_s, now_s)
         return True
 
     def expire(self) -> None:
@@ -345,8 +351,8 @@
         now_s = self._clock()
         self._reports.discard_expired(now_s)
         self._sequence += 1
-        self._heartbeat_times.record(self._sequence, self.proof.clock())
-        sends_freshness = self.needs_proof and self.store_contact
+        self._heartbeat_times.record(self._sequence, self.config_freshness.clock())
+        sends_freshness = self.requires_fresh_config and self.store_contact
         heartbeat = Heartbeat(
             origin=self._settings.ip,
             availability_zone=self._settings.availability_zone,
@@ -364,9 +370,9 @@
             dropped=self._reports.drops(),
             limits=self._reports.limits(now_s),
             successes=self._reports.drain_successes(),
-            retries=dict(self.repeats.own_counts()),
+            retries=dict(self.retry_budget.own_counts()),
             known_retries=self.zones.known_retries(now_s),
-            config_freshness_age_s=self.proof.age_s if sends_freshness else None,
+            config_freshness_age_s=self.config_freshness.age_s if sends_freshness else None,
             last_section=self.zones.own_echo() if sends_freshness else None,
             accounts=self.quotas.own_reports(now_s),
         )
@@ -383,39 +389,39 @@
             self._settings.capacity,
         )
 
-    def observe(self, observation: Observation, digest: RequestDigest | None = None) -> None:
+    def record_outcome(self, observation: Observation, digest: RequestDigest | None = None) -> None:
         """Record an outcome that this instance observed, and report it to the others."""
         now_s = self._clock()
         suspected = self.suspicion.health(observation.upstream_id, now_s) is not UpstreamHealth.GOOD
         own_name = self._settings.ip
-        self._evidence.record_own(observation, own_name, now_s)
+        self._outcome_recorder.record_own(observation, own_name, now_s)
         key = upstream_key(observation.upstream_id)
-        finding = OutcomeReport(key, observation.outcome, observation.duration_s, own_name)
+        report = OutcomeReport(key, observation.outcome, observation.duration_s, own_name)
         if observation.outcome is Outcome.SUCCESS and not suspected:
-            self._reports.record_success(finding)
+            self._reports.record_success(report)
         else:
-            self._reports.record_outcome(finding, now_s)
+            self._reports.record_outcome(report, now_s)
         if observation.outcome is Outcome.BROKEN and digest is not None:
-            self.crashers.record_loss(digest, _loss_name(key), now_s)
+            self.crashing_requests.record_loss(digest, _loss_name(key), now_s)
             self._reports.record_loss(LossReport(digest, key), now_s)
         self.on_update(observation.outcome in URGENT_OUTCOMES)
 
-    def named_limit(self, upstream_id: str, limit_per_s: float | None) -> None:
+    def record_advertised_limit(self, upstream_id: str, limit_per_s: float | None) -> None:
         """Record the rate limit in an upstream's answer, and report a change to the others."""
         now_s = self._clock()
-        if self.limits.record_own(upstream_id, limit_per_s, now_s):
+        if self.limit_exchange.record_own(upstream_id, limit_per_s, now_s):
             self.on_update(True)
 
-    def begin(self, upstream_id: str, *, trial: bool) -> None:
+    def record_request_start(self, upstream_id: str, *, trial: bool) -> None:
         """Count a request sent to an upstream; the start of a trial is reported as urgent."""
         now_s = self._clock()
         self.load.record_start(upstream_id, now_s)
         record = self.upstreams.records.get(upstream_id)
         if record is not None:
-            self.limits.upstreams.record_send(record, now_s)
+            self.limit_exchange.limits.record_send(record, now_s)
         self.on_update(trial)
 
-    def end(self, upstream_id: str) -> None:
+    def record_request_end(self, upstream_id: str) -> None:
         """Remove a request from an upstream's count."""
         self.load.record_finish(upstream_id)
         self.on_update(False)
@@ -424,7 +430,7 @@
         """Return the share of the fleet that reports here; shared allowances are scaled by it."""
         return min(self.zones.instances(self._clock()) / self._largest_fleet, 1.0)
 
-    def permits_repeat(self, service: str) -> bool:
+    def permits_retry(self, service: str) -> bool:
         """Return whether the fleet's retry budget permits one more attempt.
 
         While a zone changes its hub, the other instances' retries are unknown, and each instance
@@ -434,7 +440,7 @@
         if self.zones.is_late(now_s):
             return False
         own_part = 1.0 / max(self.zones.instances(now_s), self.membership.size())
-        return self.repeats.permits(service, now_s, self.known_share(), own_part)
+        return self.retry_budget.permits(service, now_s, self.known_share(), own_part)
 
     def admit_to_quota(self, account: ClientAccount) -> QuotaExceeded | None:
         """Count a request of an account; return why the quota refuses it, or None."""
@@ -523,13 +529,13 @@
             elif old is None and new.warmup_s > 0:
                 self.placement.warmup_until_s[upstream_id] = self._clock() + new.warmup_s
         listed = set(after)
-        self._evidence.keep_only(listed)
+        self._outcome_recorder.keep_only(listed)
         self.shares.invalidate()
         self.load.keep_only(listed)
         self.suspicion.keep_only(listed)
-        self.limits.upstreams.keep_only(listed)
+        self.limit_exchange.limits.keep_only(listed)
         self._update_serving()
-        self.on_upstreams(listed)
+        self.on_upstreams_changed(listed)
         self.on_update(True)
 
     def _update_serving(self) -> None:
--- a/src/egretrail/gateway/tests/fleet.py
+++ b/src/egretrail/gateway/tests/fleet.py
@@ -46,7 +46,7 @@
             quota_terms=QuotaTerms(5.0, 0.1, 20.0),
         )
         view = FleetView(settings, self._next_incarnation(address), loop.time, log, rng)
-        view.take_upstreams(
+        view.replace_upstreams(
             [
                 UpstreamRecord(name, "s", "10.9.0.1:1", zone, 4, UpstreamState.READY)
                 for name in "uv"
@@ -68,7 +68,7 @@
     async def _run(self, links: SimulatedLinks) -> None:
         if self.streams is not None:
             await links.open_streams()
-        await links.beat_forever()
+        await links.run()
 
     def kill(self, address: str) -> None:
         """Crash an instance."""
@@ -76,7 +76,7 @@
         links = self.network.links.pop(address)
         del self.links[address], self.views[address]
         links.stop()
-        links.state.stop()
+        links.state_exchange.stop()
         if self.streams is not None:
             self.streams.drop_host(address)
 
--- a/src/egretrail/gateway/tests/network.py
+++ b/src/egretrail/gateway/tests/network.py
@@ -16,14 +16,14 @@
     """Counts of what was delivered."""
 
     #: Datagrams and bytes within zones.
-    datagrams_inside: int = 0
-    bytes_inside: int = 0
+    datagrams_within_zone: int = 0
+    bytes_within_zone: int = 0
     #: Datagrams and bytes between zones.
-    datagrams_across: int = 0
-    bytes_across: int = 0
+    cross_zone_datagrams: int = 0
+    cross_zone_bytes: int = 0
     #: Bytes of streams, and the part of them between zones.
     bytes_streamed: int = 0
-    bytes_streamed_across: int = 0
+    cross_zone_bytes_streamed: int = 0
 
 
 class SimulatedNetwork:
@@ -112,7 +112,7 @@
         within_zone = sender.split(".")[2] == target.split(".")[2]
         self.traffic.bytes_streamed += size_bytes
         if not within_zone:
-            self.traffic.bytes_streamed_across += size_bytes
+            self.traffic.cross_zone_bytes_streamed += size_bytes
         sent_s = max(self._link_free_s.get(sender, now_s), now_s)
         sent_s += size_bytes / self._limit(sender)
         self._link_free_s[sender] = sent_s
@@ -137,11 +137,11 @@
 
     def _count(self, size_bytes: int, *, within_zone: bool) -> None:
         if within_zone:
-            self.traffic.datagrams_inside += 1
-            self.traffic.bytes_inside += size_bytes
+            self.traffic.datagrams_within_zone += 1
+            self.traffic.bytes_within_zone += size_bytes
         else:
-            self.traffic.datagrams_across += 1
-            self.traffic.bytes_across += size_bytes
+            self.traffic.cross_zone_datagrams += 1
+            self.traffic.cross_zone_bytes += size_bytes
 
     def _link_is_full(self, sender: str, size_bytes: int) -> bool:
         now_s = asyncio.get_running_loop().time()
@@ -165,7 +165,7 @@
 
     async def open_streams(self) -> None:
         """Listen for fetches of state, without a socket for datagrams."""
-        await self.state.open()
+        await self.state_exchange.open()
 
     def _send(self, data: bytes, target: str) -> None:
         self.network.send(data, self.ip, target)
--- a/src/egretrail/gateway/tests/test_peer_turns.py
+++ b/src/egretrail/gateway/tests/test_concurrent_fetches.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from egretrail.gateway._peer_turns import ConcurrentFetches
+from egretrail.gateway._concurrent_fetches import ConcurrentFetches
 from egretrail.testing import EgretrailTestCase
 
 
--- a/src/egretrail/gateway/tests/test_config_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_config_during_failures.py
@@ -126,7 +126,7 @@
                 if reads and started and address not in self.fleet.network.paused:
                     version = stored.config.version
                     self.published.setdefault(version, _Published(stored, self.now_s))
-                    view.take_config(stored, "store")
+                    view.apply_config(stored, "store")
 
     async def watch_forever(self) -> None:
         """Record versions that are late, that decrease, or that nobody published."""
@@ -429,10 +429,10 @@
             async with _running([12, 12, 36, 36], strong) as scenario:
                 scenario.change(_routes(_FIRST_ROUTES))
                 await asyncio.sleep(1.5)
-                before = scenario.fleet.network.traffic.bytes_streamed_across
+                before = scenario.fleet.network.traffic.cross_zone_bytes_streamed
                 scenario.change(_routes(_ROUTES))
                 await asyncio.sleep(_IN_FORCE_S)
-                moved_bytes = scenario.fleet.network.traffic.bytes_streamed_across - before
+                moved_bytes = scenario.fleet.network.traffic.cross_zone_bytes_streamed - before
             self.assertLess(moved_bytes, 4 * _CONFIG_BYTES)
 
         self.run_paused(run())
--- a/src/egretrail/gateway/tests/test_config_proof.py
+++ b/src/egretrail/gateway/tests/test_config_freshness.py
@@ -30,7 +30,7 @@
                     self.last_answer_s = now_s
                     view = self.fleet.views[address]
                     view.set_store_contact(True)
-                    view.prove_config(now_s)
+                    view.confirm_config_current(now_s)
             await asyncio.sleep(1.0)
 
 
@@ -55,7 +55,7 @@
     for address in fleet.addresses[::3]:
         fleet.kill(address)
         fleet.start(address, fleet.addresses[-3:])
-        fleet.views[address].take_config(_KEYED, "test")
+        fleet.views[address].apply_config(_KEYED, "test")
 
 
 async def _suspend_some(fleet: Fleet, store: _Store) -> None:
@@ -79,7 +79,7 @@
             store = _Store(fleet)
             for address in fleet.addresses:
                 fleet.start(address, fleet.addresses[-3:])
-                fleet.views[address].take_config(_KEYED, "test")
+                fleet.views[address].apply_config(_KEYED, "test")
             reading = asyncio.create_task(store.run())
             try:
                 await asyncio.sleep(4.0)
@@ -93,7 +93,7 @@
     def _check_not_newer(self, fleet: Fleet, store: _Store) -> None:
         now_s = asyncio.get_running_loop().time()
         for address, view in fleet.views.items():
-            newest_s = now_s - view.proof.age_s
+            newest_s = now_s - view.config_freshness.age_s
             self.assertLessEqual(newest_s, store.last_answer_s + 1e-6, address)
 
     @cases(
@@ -118,7 +118,7 @@
             for _ in range(60):
                 await asyncio.sleep(0.05)
                 self._check_not_newer(fleet, store)
-            self.assertTrue(all(view.takes_keys for view in fleet.views.values()))
+            self.assertTrue(all(view.accepts_keys for view in fleet.views.values()))
 
         self._run(check)
 
@@ -130,13 +130,13 @@
             fleet.network.cut |= {frozenset({alone, other}) for other in others}
             cut_s = asyncio.get_running_loop().time()
             await asyncio.sleep(_REVOCATION_S - 3.0)
-            self.assertTrue(fleet.views[alone].takes_keys)
+            self.assertTrue(fleet.views[alone].accepts_keys)
             await asyncio.sleep(cut_s + _REVOCATION_S - asyncio.get_running_loop().time())
-            self.assertFalse(fleet.views[alone].takes_keys)
-            self.assertTrue(all(fleet.views[a].takes_keys for a in others))
+            self.assertFalse(fleet.views[alone].accepts_keys)
+            self.assertTrue(all(fleet.views[a].accepts_keys for a in others))
             fleet.network.cut.clear()
             await asyncio.sleep(2.0)
-            self.assertTrue(fleet.views[alone].takes_keys)
+            self.assertTrue(fleet.views[alone].accepts_keys)
 
         self._run(check)
 
@@ -144,12 +144,12 @@
         async def check(fleet: Fleet, store: _Store) -> None:
             store.reading_zones = set()
             await asyncio.sleep(_REVOCATION_S)
-            self.assertFalse(any(view.takes_keys for view in fleet.views.values()))
+            self.assertFalse(any(view.accepts_keys for view in fleet.views.values()))
             for view in fleet.views.values():
-                view.take_config(
+                view.apply_config(
                     run_to_completion(split_config(FleetConfig(8, [], {}, ClientLimits()))), "t"
                 )
-            self.assertTrue(all(view.takes_keys for view in fleet.views.values()))
+            self.assertTrue(all(view.accepts_keys for view in fleet.views.values()))
 
         self._run(check)
 
@@ -161,11 +161,11 @@
             behind = next(a for a in fleet.addresses if not fleet.links[a].is_hub)
             for address, view in fleet.views.items():
                 if address != behind:
-                    view.take_config(newer, "test")
+                    view.apply_config(newer, "test")
             await asyncio.sleep(_REVOCATION_S + 0.5)
-            self.assertFalse(fleet.views[behind].takes_keys)
-            fleet.views[behind].take_config(newer, "test")
+            self.assertFalse(fleet.views[behind].accepts_keys)
+            fleet.views[behind].apply_config(newer, "test")
             await asyncio.sleep(1.0)
-            self.assertTrue(fleet.views[behind].takes_keys)
+            self.assertTrue(fleet.views[behind].accepts_keys)
 
         self._run(check)
--- a/src/egretrail/gateway/tests/test_config_state.py
+++ b/src/egretrail/gateway/tests/test_config_state.py
@@ -98,9 +98,9 @@
             log = EventLog("test", descriptor=os.open(os.devnull, os.O_WRONLY))
             view = FleetView(gateway_settings(zone="z0"), 1, loop.time, log, random.Random(1))
             chunked = run_to_completion(split_config(FleetConfig(1, [], {}, ClientLimits())))
-            view.take_config(chunked, "test")
+            view.apply_config(chunked, "test")
             await act(view)
             view.expire()
-            self.assertIs(expected, view.knows_config_is_current)
+            self.assertIs(expected, view.is_config_current)
 
         self.run_paused(run())
--- a/src/egretrail/gateway/tests/test_executor.py
+++ b/src/egretrail/gateway/tests/test_executor.py
@@ -60,13 +60,13 @@
             document = json.dumps(config(1, _ROUTES, accounts)).encode()
             decoded = PlatformLayout().decode_config(document)
             assert isinstance(decoded, Ok)
-            view.take_config(run_to_completion(split_config(decoded.ok_value)), "test")
+            view.apply_config(run_to_completion(split_config(decoded.ok_value)), "test")
             backend = StandInBackend("s", "zone-a", work_s=0.05)
             await backend.start()
             record = UpstreamRecord(
                 backend.id, "s", backend.address, "zone-a", 4, UpstreamState.READY
             )
-            view.take_upstreams([record], 5, "test")
+            view.replace_upstreams([record], 5, "test")
             executor = RequestExecutor(
                 view, PlatformContract(), UpstreamConnectionPool(), log, GatewayMetrics(), rng
             )
@@ -153,16 +153,16 @@
         async def scenario(
             executor: RequestExecutor, view: FleetView, backend: StandInBackend
         ) -> None:
-            view.take_settings(replace(gateway_settings(), revocation_s=5.0))
+            view.apply_settings(replace(gateway_settings(), revocation_s=5.0))
             keyed = client_request(HOST, b"GET", b"/read/1", api_key=b"k1")
             now_s = asyncio.get_running_loop().time()
-            view.prove_config(now_s - 4.9)
+            view.confirm_config_current(now_s - 4.9)
             response = await executor.serve(keyed)
             self.assertEqual(503, response.status)
             self.assertLess(float(dict(response.headers)[b"Retry-After"]), 1.0)
             public = client_request(HOST, b"GET", b"/open/1", api_key=b"k1")
             self.assertEqual(200, (await executor.serve(public)).status)
-            view.prove_config(asyncio.get_running_loop().time() - 4.0)
+            view.confirm_config_current(asyncio.get_running_loop().time() - 4.0)
             self.assertEqual(200, (await executor.serve(keyed)).status)
 
         self._run_with_backend(scenario, [account("acme", "k1")])
@@ -183,7 +183,7 @@
             ) -> ClientConnection:
                 connection = await acquire(pool, name, address)
                 draining = replace(record, state=UpstreamState.DRAINING, revision=6)
-                view.take_upstreams([draining], 6, "test")
+                view.replace_upstreams([draining], 6, "test")
                 return connection
 
             with mock.patch.object(UpstreamConnectionPool, "acquire", acquire_late):
@@ -235,7 +235,7 @@
                     name, "s", backend.address, "zone-a", 4, UpstreamState.READY
                 )
                 backend.id = name
-                view.take_upstreams([record], 6 + number, "test")
+                view.replace_upstreams([record], 6 + number, "test")
                 statuses.append((await executor.serve(_request(b"POST", b"/order/1"))).status)
             self.assertEqual([502, 502, 502, 503, 503, 503], statuses)
 
--- a/src/egretrail/gateway/tests/test_hubs_in_trouble.py
+++ b/src/egretrail/gateway/tests/test_hub_failures.py
@@ -142,12 +142,12 @@
     def test_a_failure_becomes_known_to_all(self, failure: Failure) -> None:
         async def check(fleet: Fleet) -> None:
             observer = random.Random(1).choice(sorted(fleet.views))
-            fleet.views[observer].observe(Observation("u", Outcome.FAILED, 0.003))
+            fleet.views[observer].record_outcome(Observation("u", Outcome.FAILED, 0.003))
             await asyncio.sleep(0.6)
             now_s = asyncio.get_running_loop().time()
             for address, view in fleet.views.items():
-                standing = view.suspicion.health("u", now_s)
-                self.assertIs(UpstreamHealth.SUSPECT, standing, address)
+                health = view.suspicion.health("u", now_s)
+                self.assertIs(UpstreamHealth.SUSPECT, health, address)
 
         self._run(failure, check)
 
@@ -157,7 +157,7 @@
             rng = random.Random(2)
             for view in fleet.views.values():
                 for _ in range(rng.randrange(4)):
-                    view.begin("v", trial=False)
+                    view.record_request_start("v", trial=False)
             await asyncio.sleep(3.5)
             in_flight = sum(view.load.own_counts().get("v", 0) for view in fleet.views.values())
             now_s = asyncio.get_running_loop().time()
@@ -184,10 +184,10 @@
                 while True:
                     await asyncio.sleep(0.01)
                     view = rng.choice(list(fleet.views.values()))
-                    view.repeats.record_request("s", loop.time())
+                    view.retry_budget.record_request("s", loop.time())
                     routed_s.append(loop.time())
-                    if view.permits_repeat("s"):
-                        view.repeats.record_retry("s", loop.time())
+                    if view.permits_retry("s"):
+                        view.retry_budget.record_retry("s", loop.time())
                         sent_s.append(loop.time())
 
             work = loop.create_task(retry_forever())
--- a/src/egretrail/gateway/tests/test_large_config.py
+++ b/src/egretrail/gateway/tests/test_large_config.py
@@ -63,7 +63,7 @@
 async def _apply_config(fleet: Fleet, address: str, value: bytes) -> None:
     decoded = PlatformLayout().decode_config(value)
     assert isinstance(decoded, Ok)
-    fleet.views[address].take_config(run_to_completion(split_config(decoded.ok_value)), "store")
+    fleet.views[address].apply_config(run_to_completion(split_config(decoded.ok_value)), "store")
 
 
 class LargeConfigTest(EgretrailTestCase):
--- a/src/egretrail/gateway/tests/test_named_limits.py
+++ b/src/egretrail/gateway/tests/test_limit_exchange.py
@@ -58,7 +58,7 @@
             for n in range(_UPSTREAMS)
         ]
         for view in self.fleet.views.values():
-            view.take_upstreams(records, 6, "test")
+            view.replace_upstreams(records, 6, "test")
 
     async def call_forever(self, address: str) -> None:
         """Send one instance its share of the requests."""
@@ -76,13 +76,13 @@
             self.refused += 1
             return
         name = choice.upstream.id
-        view.begin(name, trial=choice.is_trial)
+        view.record_request_start(name, trial=choice.is_trial)
         self.arrivals_s.setdefault(name, []).append(self.now_s)
 
         def answered() -> None:
             if self.fleet.views.get(address) is view:
-                view.end(name)
-                view.named_limit(name, self.limit_per_s(int(name[1:])))
+                view.record_request_end(name)
+                view.record_advertised_limit(name, self.limit_per_s(int(name[1:])))
 
         work_s = self._rng.uniform(0.5, 1.5) * _WORK_S
         asyncio.get_running_loop().call_later(work_s, answered)
@@ -207,4 +207,4 @@
 
         scenario = self._run([11, 11, 10], [1.8] * 4, end)
         for view in scenario.fleet.views.values():
-            self.assertEqual(0, view.limits.upstreams.count())
+            self.assertEqual(0, view.limit_exchange.limits.count())
--- a/src/egretrail/gateway/tests/test_peers.py
+++ b/src/egretrail/gateway/tests/test_peers.py
@@ -72,8 +72,8 @@
                 settings = gateway_settings(address, f"z{number // 6}")
                 capacity = 0.25 if address == changed else 1.0
                 settings = replace(settings, seeds=fleet.addresses[:1], capacity=capacity)
-                fleet.views[address].take_settings(settings)
-                fleet.links[address].take_settings(settings)
+                fleet.views[address].apply_settings(settings)
+                fleet.links[address].apply_settings(settings)
             await asyncio.sleep(6.0)
             for address, view in fleet.views.items():
                 self.assertEqual(set(fleet.addresses), fleet.known_instances(address))
@@ -89,11 +89,11 @@
             fleet = Fleet([8, 8])
             tasks = [fleet.start(a, fleet.addresses[:1]) for a in fleet.addresses]
             await asyncio.sleep(5.0)
-            fleet.views[fleet.addresses[3]].observe(Observation("u", Outcome.FAILED, 0.003))
+            fleet.views[fleet.addresses[3]].record_outcome(Observation("u", Outcome.FAILED, 0.003))
             await asyncio.sleep(0.06)
             loop = asyncio.get_running_loop()
-            standings = {view.suspicion.health("u", loop.time()) for view in fleet.views.values()}
-            self.assertEqual({UpstreamHealth.SUSPECT}, standings)
+            healths = {view.suspicion.health("u", loop.time()) for view in fleet.views.values()}
+            self.assertEqual({UpstreamHealth.SUSPECT}, healths)
             for task in tasks:
                 task.cancel()
 
@@ -146,11 +146,11 @@
             work = asyncio.get_running_loop().create_task(self._work(fleet))
             await asyncio.sleep(2.0)
             # The durations of "v" make typical work look very short; this failure is as quick.
-            fleet.views[fleet.addresses[40]].observe(Observation("u", Outcome.FAILED, 0.001))
+            fleet.views[fleet.addresses[40]].record_outcome(Observation("u", Outcome.FAILED, 0.001))
             await asyncio.sleep(0.3)
             loop = asyncio.get_running_loop()
-            standings = [view.suspicion.health("u", loop.time()) for view in fleet.views.values()]
-            self.assertGreaterEqual(standings.count(UpstreamHealth.SUSPECT), 122)
+            healths = [view.suspicion.health("u", loop.time()) for view in fleet.views.values()]
+            self.assertGreaterEqual(healths.count(UpstreamHealth.SUSPECT), 122)
             self.assertEqual(set(fleet.addresses), fleet.known_instances(fleet.addresses[-1]))
             for task in [*tasks, work]:
                 task.cancel()
@@ -164,14 +164,14 @@
         views = list(fleet.views.values())
         while True:
             view = rng.choice(views)
-            view.begin("v", trial=False)
+            view.record_request_start("v", trial=False)
             loop.call_later(0.3, self._end, view, rng.random() < 0.1)
             await asyncio.sleep(1 / (4 * len(views)))
 
     def _end(self, view: FleetView, failed: bool) -> None:
-        view.end("v")
+        view.record_request_end("v")
         outcome = Outcome.FAILED if failed else Outcome.SUCCESS
-        view.observe(Observation("v", outcome, 0.3))
+        view.record_outcome(Observation("v", outcome, 0.3))
 
 
 class DroppedUpstreamTest(EgretrailTestCase):
--- a/src/egretrail/gateway/tests/test_quotas.py
+++ b/src/egretrail/gateway/tests/test_quotas.py
@@ -91,7 +91,7 @@
             )
             for address in fleet.addresses:
                 fleet.start(address, fleet.addresses[-3:])
-                fleet.views[address].take_config(config, "test")
+                fleet.views[address].apply_config(config, "test")
             await asyncio.sleep(5.0)
             demand = Demand(fleet, account)
             await act(demand)  # type: ignore[misc]
--- a/src/egretrail/gateway/tests/test_store_sync.py
+++ b/src/egretrail/gateway/tests/test_store_sync.py
@@ -302,7 +302,7 @@
     def test_an_answer_older_than_a_peers_list_removes_nothing(self) -> None:
         async def act(setup: _ReaderSetup) -> None:
             upstreams = setup.view.upstreams
-            setup.view.take_upstreams(list(upstreams), upstreams.revision + 100, "peer")
+            setup.view.replace_upstreams(list(upstreams), upstreams.revision + 100, "peer")
             for name in ("u1", "u2", "u3"):
                 setup.unlist(name)
             await asyncio.sleep(4.0)
@@ -462,31 +462,31 @@
         self,
     ) -> None:
         def before(setup: _ReaderSetup) -> None:
-            setup.view.take_settings(replace(gateway_settings(), revocation_s=5.0))
+            setup.view.apply_settings(replace(gateway_settings(), revocation_s=5.0))
             setup.configure(config(2, _ROUTES, [account("acme", "k1")]))
 
         async def after(setup: _ReaderSetup) -> None:
             self.assertEqual(2, setup.view.config_version)
             await asyncio.sleep(5.0)
-            self.assertFalse(setup.view.takes_keys)
+            self.assertFalse(setup.view.accepts_keys)
             setup.configure(config(3, _ROUTES, [account("acme", "k2")]))
             await asyncio.sleep(1.5)
             self.assertEqual(3, setup.view.config_version)
-            self.assertTrue(setup.view.takes_keys)
+            self.assertTrue(setup.view.accepts_keys)
 
         self._run(before, after)
 
     def test_a_restored_store_confirms_nothing_until_all_is_written_again(self) -> None:
         def before(setup: _ReaderSetup) -> None:
-            setup.view.take_settings(replace(gateway_settings(), revocation_s=5.0))
+            setup.view.apply_settings(replace(gateway_settings(), revocation_s=5.0))
 
         async def after(setup: _ReaderSetup) -> None:
             setup.configure(config(2, _ROUTES, [account("acme", "k1")]))
             await asyncio.sleep(0.5)
             # The store was restored a second and a half ago.
-            self.assertGreater(setup.view.proof.age_s, 1.5)
+            self.assertGreater(setup.view.config_freshness.age_s, 1.5)
             await asyncio.sleep(2.5)
-            self.assertLess(setup.view.proof.age_s, 1.2)
+            self.assertLess(setup.view.config_freshness.age_s, 1.2)
 
         self._run(before, after)
 
@@ -496,7 +496,7 @@
 
     def _run(self, act: Act) -> None:
         async def act_with_accounts(setup: _ReaderSetup) -> None:
-            setup.view.take_settings(replace(gateway_settings(), revocation_s=5.0))
+            setup.view.apply_settings(replace(gateway_settings(), revocation_s=5.0))
             setup.configure(config(2, _ROUTES, [account("acme", "k1")]))
             await asyncio.sleep(3.0)
             await act(setup)
@@ -508,7 +508,7 @@
             before = setup.store.calls.copy()
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                self.assertLess(setup.view.proof.age_s, 1.2)
+                self.assertLess(setup.view.config_freshness.age_s, 1.2)
             made = setup.store.calls - before
             del made["stale snapshot"]
             self.assertLess(sum(made.values()), 10 + 2 * 2 + 2)
@@ -519,10 +519,10 @@
         async def act(setup: _ReaderSetup) -> None:
             setup.store.out = True
             await asyncio.sleep(5.0)
-            self.assertFalse(setup.view.takes_keys)
+            self.assertFalse(setup.view.accepts_keys)
             setup.store.out = False
             await asyncio.sleep(2.0)
-            self.assertTrue(setup.view.takes_keys)
+            self.assertTrue(setup.view.accepts_keys)
 
         self._run(act)
 
@@ -538,10 +538,10 @@
         async def act(setup: _ReaderSetup) -> None:
             setup.configure(document)
             await asyncio.sleep(6.0)
-            self.assertFalse(setup.view.takes_keys)
+            self.assertFalse(setup.view.accepts_keys)
             setup.configure(config(10, _ROUTES, [account("acme", "k1")]))
             await asyncio.sleep(1.5)
-            self.assertTrue(setup.view.takes_keys)
+            self.assertTrue(setup.view.accepts_keys)
 
         self._run(act)
 
@@ -563,7 +563,7 @@
                 decoded = PlatformLayout().decode_config(value)
                 self.assertIs(valid, decoded.is_ok())
                 if valid:
-                    view.take_config(run_to_completion(split_config(decoded.unwrap())), "test")
+                    view.apply_config(run_to_completion(split_config(decoded.unwrap())), "test")
                     highest = max(highest, version)
                 in_force = view.config.version if view.config is not None else 0
                 self.assertEqual(highest, in_force)
@@ -641,10 +641,10 @@
             zones = rendezvous_order("read the store", ["z0", "z1", "z2"])
             own, layout = gateway_settings(zone=zones[position]), PlatformLayout()
             view = FleetView(own, 1, loop.time, log, random.Random(1))
-            view.take_config(
+            view.apply_config(
                 run_to_completion(split_config(FleetConfig(1, [], {}, ClientLimits()))), "test"
             )
-            view.take_upstreams([], 5, "test")
+            view.replace_upstreams([], 5, "test")
             peers = PeerLinks(own, view, log, random.Random(1))
             sync = StoreSync(own, view, FakeStore(), layout, peers, log, random.Random(1))
             sequences = itertools.count(1)
--- a/src/egretrail/gateway/tests/test_fetch_places.py
+++ b/src/egretrail/gateway/tests/test_transfer_slots.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from egretrail.gateway._fetch_places import TransferSlots
+from egretrail.gateway._transfer_slots import TransferSlots
 from egretrail.testing import EgretrailTestCase
 
 _ZONES = {f"10.0.0.{n}": "a" for n in range(20)}
--- a/src/egretrail/gateway/tests/test_upstream_exchange.py
+++ b/src/egretrail/gateway/tests/test_upstream_exchange.py
@@ -230,7 +230,7 @@
             listed = {record.name: record for record in call.whole}
             gone = known.keys() - listed.keys()
             retained = self._retain(own, [known[name] for name in gone], retains=retains)
-            own.view.take_upstreams([*call.whole, *retained], call.revision, "store")
+            own.view.replace_upstreams([*call.whole, *retained], call.revision, "store")
         else:
             gone = known.keys() & {name for name, event in call.changes.items() if event is None}
             retained = self._retain(own, [known[name] for name in gone], retains=retains)
@@ -273,9 +273,9 @@
         if pairs:
             requester, responder = pairs[pick % len(pairs)]
             whole = pick % 7 == 0
-            question = FetchUpstreams(0 if whole else known[requester], with_suspicions=False)
+            message = FetchUpstreams(0 if whole else known[requester], with_suspicions=False)
             own = self.instances[responder]
-            decoded = decode_upstreams(own.exchange.answers.upstreams_reply(question))
+            decoded = decode_upstreams(own.exchange.answers.upstreams_reply(message))
             assert isinstance(decoded, Ok)
             unlisted_ready = self._unlisted_ready(own)
             self.replies.append(
@@ -305,7 +305,7 @@
         own, reply = self.instances[sent.requester], sent.reply
         before, unlisted_before = own.revision, self._unlisted_ready(own)
         if reply.upstreams is not None:
-            own.view.take_upstreams(reply.upstreams, reply.revision, "peer")
+            own.view.replace_upstreams(reply.upstreams, reply.revision, "peer")
         if reply.changes is not None:
             own.view.apply_upstream_changes(dict(reply.changes), reply.revision, "peer")
         if reply.revision > before:
@@ -543,7 +543,7 @@
         own = gateway_settings()
         log = mock.create_autospec(EventLog, instance=True)
         view = FleetView(own, 1, lambda: clock_s[0], log, random.Random(1))
-        view.take_upstreams([], 5, "store")
+        view.replace_upstreams([], 5, "store")
         for clock_s[0], event in events:
             if isinstance(event, str):
                 view.apply_upstream_changes({}, int(event), "peer")
--- a/src/egretrail/gateway/tests/test_upstream_news.py
+++ b/src/egretrail/gateway/tests/test_upstream_updates.py
@@ -51,7 +51,7 @@
         """Apply the list at the instances that read the store."""
         for zone in (0, 1):
             view = self._fleet.views[self._fleet.hub(zone)]
-            view.take_upstreams(records, _FIRST_REVISION, "store")
+            view.replace_upstreams(records, _FIRST_REVISION, "store")
 
     async def run(self, records: Sequence[UpstreamRecord], failure: _Failure) -> None:
         """Drain upstreams, and start the failure on the way."""
