--- a/scaffolding/platform/client.py
+++ b/scaffolding/platform/client.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import dataclass
 
-from egretrail.http1 import ExchangeFailed, ReceivedAnswer, encode_request, open_connection
+from egretrail.http1 import ExchangeFailed, ReceivedResponse, encode_request, open_connection
 
 _attempts = itertools.count(1)
 
@@ -74,7 +74,7 @@
         )
         if response is None:
             return AttemptResult(attempt, 0, b"", None)
-        stated = response.value(b"retry-after")
+        stated = response.header(b"retry-after")
         retry_after_s = float(stated) if stated is not None else None
         return AttemptResult(attempt, response.status, response.body, retry_after_s)
 
@@ -86,7 +86,7 @@
         fields: list[tuple[bytes, bytes]],
         body: bytes,
         timeout_s: float = 2.0,
-    ) -> ReceivedAnswer | None:
+    ) -> ReceivedResponse | None:
         data = encode_request(method, target, [(b"Host", self.host.encode()), *fields], body)
         try:
             connection = await open_connection(address, 1.0)
--- a/scaffolding/soak/_client.py
+++ b/scaffolding/soak/_client.py
@@ -43,7 +43,7 @@
         except (ExchangeFailed, TimeoutError):
             connection.abort()
             return AttemptResult(attempt, 0, b"", None), is_new
-        if connection.reusable:
+        if connection.is_reusable:
             self._idle.setdefault(address, []).append(connection)
         else:
             connection.abort()
@@ -60,7 +60,7 @@
         idle = self._idle.get(address, [])
         while idle:
             connection = idle.pop()
-            if connection.reusable:
+            if connection.is_reusable:
                 return connection, False
             connection.abort()
         try:
--- a/src/egretrail/cli/tests/test_gateway_show.py
+++ b/src/egretrail/cli/tests/test_gateway_show.py
@@ -20,11 +20,11 @@
     metrics = GatewayMetrics()
     for (route, outcome), count in answers.items():
         for _ in range(count):
-            metrics.answered(route, outcome, 0.1)
-    metrics.refused("no_time")
-    metrics.attempted("success", 0.2)
+            metrics.count_request(route, outcome, 0.1)
+    metrics.count_refusal("no_time")
+    metrics.count_attempt("success", 0.2)
     gauges = {"members": float(members), "config_version": float(version), "upstreams": 9.0}
-    return metrics.text(gauges).decode()
+    return metrics.render(gauges).decode()
 
 
 class _MetricsServer:
--- a/src/egretrail/gateway/__init__.py
+++ b/src/egretrail/gateway/__init__.py
@@ -5,13 +5,13 @@
 """
 
 from egretrail.gateway._interfaces import (
-    AnswerKind,
-    CallerTerms,
     GatewaySettings,
     InvalidDocument,
     InvalidLimit,
     ReportedLoad,
     RequestContract,
+    RequestMetadata,
+    ResponseKind,
     StoreLayout,
 )
 from egretrail.gateway._metrics import GatewayMetrics
@@ -19,8 +19,6 @@
 from egretrail.gateway._settings_file import SettingsFile
 
 __all__ = [
-    "AnswerKind",
-    "CallerTerms",
     "GatewayMetrics",
     "GatewaySettings",
     "InvalidDocument",
@@ -28,6 +26,8 @@
     "Platform",
     "ReportedLoad",
     "RequestContract",
+    "RequestMetadata",
+    "ResponseKind",
     "SettingsFile",
     "StoreLayout",
     "run_gateway",
--- a/src/egretrail/gateway/_attempts.py
+++ b/src/egretrail/gateway/_attempts.py
@@ -5,7 +5,7 @@
 from result import Err
 
 from egretrail.dispatch import Observation, Outcome, RequestDigest
-from egretrail.gateway._interfaces import AnswerKind, RequestContract
+from egretrail.gateway._interfaces import RequestContract, ResponseKind
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
 from egretrail.gateway._pending_request import AttemptResult, Disposition, PendingRequest
@@ -15,7 +15,7 @@
     ConnectFailed,
     ExchangeBroken,
     ExchangeFailed,
-    ReceivedAnswer,
+    ReceivedResponse,
     encode_request,
 )
 from egretrail.traffic import UpstreamRecord
@@ -82,7 +82,9 @@
         try:
             received = await connection.exchange(
                 data,
-                lambda response: self._contract.belongs(response, pending.metadata.attempt_id),
+                lambda response: self._contract.belongs_to_attempt(
+                    response, pending.metadata.attempt_id
+                ),
                 without_body=request.method == b"HEAD",
             )
         except ExchangeFailed as error:
@@ -97,7 +99,11 @@
         return self._interpret(pending, upstream_id, received, started_s)
 
     def _interpret(
-        self, pending: PendingRequest, upstream_id: str, received: ReceivedAnswer, started_s: float
+        self,
+        pending: PendingRequest,
+        upstream_id: str,
+        received: ReceivedResponse,
+        started_s: float,
     ) -> AttemptResult:
         now_s = self._loop.time()
         load = self._contract.reported_load(received)
@@ -105,34 +111,34 @@
             self._view.load.record_reported_load(
                 upstream_id, max(load.running + load.waiting - 1, 0), now_s
             )
-        response_kind = self._contract.kind(received)
-        if response_kind not in (AnswerKind.WRONG_UPSTREAM, AnswerKind.INVALID):
+        response_kind = self._contract.classify(received)
+        if response_kind not in (ResponseKind.WRONG_UPSTREAM, ResponseKind.INVALID):
             self._record_advertised_limit(upstream_id, received)
-        if response_kind is AnswerKind.SERVED:
+        if response_kind is ResponseKind.SERVED:
             self._record_outcome(upstream_id, Outcome.SUCCESS, started_s)
             self._view.crashing_requests.clear(pending.digest)
             return AttemptResult(Disposition.SERVED, received)
-        if response_kind is AnswerKind.NOT_RUN:
+        if response_kind is ResponseKind.NOT_RUN:
             self._record_outcome(upstream_id, Outcome.SHED, started_s)
             return AttemptResult(
                 Disposition.NOT_RUN, received, "refused by the upstream without running"
             )
-        if response_kind is AnswerKind.WRONG_UPSTREAM:
+        if response_kind is ResponseKind.WRONG_UPSTREAM:
             self._view.upstreams.mark_draining(upstream_id)
             self._log.event("upstream_replaced", upstream=upstream_id)
             return AttemptResult(Disposition.NOT_RUN, received, "another upstream uses the address")
-        if response_kind is AnswerKind.EXPIRED:
+        if response_kind is ResponseKind.EXPIRED:
             self._record_outcome(upstream_id, Outcome.EXPIRED, started_s)
             return AttemptResult(
                 Disposition.FAILED, received, "the request's deadline passed at the upstream"
             )
         self._record_outcome(upstream_id, Outcome.FAILED, started_s)
-        if response_kind is AnswerKind.INVALID:
+        if response_kind is ResponseKind.INVALID:
             return AttemptResult(Disposition.FAILED, None, "not a valid response of an upstream")
         return AttemptResult(Disposition.FAILED, received, "the upstream failed")
 
-    def _record_advertised_limit(self, upstream_id: str, received: ReceivedAnswer) -> None:
-        advertised = self._contract.named_limit(received)
+    def _record_advertised_limit(self, upstream_id: str, received: ReceivedResponse) -> None:
+        advertised = self._contract.advertised_limit(received)
         if isinstance(advertised, Err):
             # The limit that was advertised before stays in force, to protect the upstream.
             self._log.event("limit_refused", upstream=upstream_id, cause=advertised.err_value)
@@ -160,4 +166,4 @@
     ) -> None:
         duration_s = self._loop.time() - started_s
         self._view.record_outcome(Observation(upstream_id, outcome, duration_s), digest)
-        self._metrics.attempted(outcome.name.lower(), duration_s)
+        self._metrics.count_attempt(outcome.name.lower(), duration_s)
--- a/src/egretrail/gateway/_config_fetch.py
+++ b/src/egretrail/gateway/_config_fetch.py
@@ -15,7 +15,7 @@
     decode_manifest,
 )
 from egretrail.gateway._concurrent_fetches import ConcurrentFetches
-from egretrail.gateway._interfaces import StartSettings
+from egretrail.gateway._interfaces import StartupSettings
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peer_streams import (
     PEER_TIMEOUT_S,
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        settings: StartSettings,
+        settings: StartupSettings,
         view: FleetView,
         streams: PeerStreams,
         log: EventLog,
--- a/src/egretrail/gateway/_executor.py
+++ b/src/egretrail/gateway/_executor.py
@@ -6,13 +6,13 @@
 
 from egretrail.dispatch import Choice, PlacementQuery, Refusal, request_digest
 from egretrail.gateway._attempts import AttemptRunner
-from egretrail.gateway._interfaces import CallerTerms, RequestContract
+from egretrail.gateway._interfaces import RequestContract, RequestMetadata
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._metrics import GatewayMetrics
 from egretrail.gateway._pending_request import UNSENT, AttemptResult, Disposition, PendingRequest
 from egretrail.gateway._pool import UpstreamConnectionPool
 from egretrail.gateway._view import FleetView
-from egretrail.http1 import Answer, Request
+from egretrail.http1 import Request, Response
 from egretrail.traffic import Route, choose_service, request_priority
 
 #: The time-out of a request whose client does not say how long it waits.
@@ -61,13 +61,13 @@
         self._loop = asyncio.get_running_loop()
         self._started_s = self._loop.time()
 
-    async def serve(self, request: Request) -> Answer:
+    async def serve(self, request: Request) -> Response:
         """Return the final response to a request; cancelled when the client disconnects."""
         started_s = self._loop.time()
-        metadata = self._contract.caller_terms(request)
+        metadata = self._contract.request_metadata(request)
         await self._wait_for_config()
         pending = self._admit(request, metadata)
-        if isinstance(pending, Answer):
+        if isinstance(pending, Response):
             return pending
         try:
             response, outcome = await self._run_attempts(pending)
@@ -99,16 +99,16 @@
             view.requires_fresh_config and has_just_started and not view.config_confirmed.is_set()
         )
 
-    def _admit(self, request: Request, metadata: CallerTerms) -> PendingRequest | Answer:
+    def _admit(self, request: Request, metadata: RequestMetadata) -> PendingRequest | Response:
         view = self._view
         if view.configs.routes is None or view.upstreams.revision == 0:
             self._record_refusal(metadata, "", "starting", _STARTING_RETRY_S)
-            return self._contract.not_run(_STARTING_RETRY_S)
+            return self._contract.not_run_response(_STARTING_RETRY_S)
         path = request.target.partition(b"?")[0].decode("latin-1")
         route = view.configs.routes.find(metadata.host, path)
         if route is None and not view.is_config_current:
             self._record_refusal(metadata, "", "config_behind", _CONFIG_RETRY_S)
-            return self._contract.not_run(_CONFIG_RETRY_S)
+            return self._contract.not_run_response(_CONFIG_RETRY_S)
         if route is None:
             version = view.config_version
             self._log.event(
@@ -118,8 +118,8 @@
                 path=path,
                 config_version=version,
             )
-            self._metrics.answered("none", "no_route", 0.0)
-            return Answer(404)
+            self._metrics.count_request("none", "no_route", 0.0)
+            return Response(404)
         account = None
         if view.configs.accounts is not None and not route.is_public:
             account = view.configs.accounts.find(metadata.api_key) if metadata.api_key else None
@@ -134,7 +134,7 @@
                     account=account.name,
                     proof_age_s=view.config_freshness.age_s,
                 )
-                return self._contract.not_run(_UNCONFIRMED_RETRY_S)
+                return self._contract.not_run_response(_UNCONFIRMED_RETRY_S)
             excess = view.admit_to_quota(account)
             if excess is not None:
                 self._record_refusal(
@@ -146,7 +146,7 @@
                     room=excess.remaining,
                     demand_per_s=excess.demand_per_s,
                 )
-                return self._contract.over_quota(excess.retry_after_s)
+                return self._contract.over_quota_response(excess.retry_after_s)
         service = choose_service(route, self._rng)
         now_s = self._loop.time()
         view.retry_budget.record_request(service, now_s)
@@ -155,12 +155,12 @@
         )
         if view.crashing_requests.is_blocked(digest, now_s):
             self._record_refusal(metadata, route.name, "crashes_upstreams", _CRASHING_RETRY_S)
-            return self._contract.not_run(_CRASHING_RETRY_S)
+            return self._contract.not_run_response(_CRASHING_RETRY_S)
         wait_s = metadata.wait_s if metadata.wait_s is not None else _DEFAULT_WAIT_S
         deadline_s = request.received_s + min(wait_s, route.timeout_s)
         return PendingRequest(request, metadata, route, service, account, digest, deadline_s)
 
-    def _reject_api_key(self, metadata: CallerTerms, route: Route) -> Answer:
+    def _reject_api_key(self, metadata: RequestMetadata, route: Route) -> Response:
         """Return the response to a request whose API key belongs to no account; it never runs.
 
         Clients treat 401 as final. An instance whose configuration may not be the newest must
@@ -169,7 +169,7 @@
         view = self._view
         if not view.is_config_current:
             self._record_refusal(metadata, route.name, "config_behind", _CONFIG_RETRY_S)
-            return self._contract.not_run(_CONFIG_RETRY_S)
+            return self._contract.not_run_response(_CONFIG_RETRY_S)
         self._log.event(
             "key_refused",
             id=metadata.attempt_id,
@@ -177,10 +177,10 @@
             reason="unknown" if metadata.api_key else "missing",
             config_version=view.config_version,
         )
-        self._metrics.answered(route.name, "key_refused", 0.0)
-        return Answer(401)
+        self._metrics.count_request(route.name, "key_refused", 0.0)
+        return Response(401)
 
-    async def _run_attempts(self, pending: PendingRequest) -> tuple[Answer, str]:
+    async def _run_attempts(self, pending: PendingRequest) -> tuple[Response, str]:
         running: dict[asyncio.Task[AttemptResult], Choice] = {}
         try:
             refusal = self._start_attempt(pending, running)
@@ -193,7 +193,7 @@
                         self._view.response_sizes.record(
                             pending.route.name, len(result.received.body)
                         )
-                        return self._contract.answer(result.received), "served"
+                        return self._contract.forwarded_response(result.received), "served"
                     self._record_failed_attempt(pending, choice, result)
                     if self._may_retry_after_failure(pending, result):
                         refusal = self._start_attempt(pending, running) or refusal
@@ -330,7 +330,7 @@
 
     def _failure_response(
         self, pending: PendingRequest, has_running_attempts: bool, refusal: Refusal | None
-    ) -> tuple[Answer, str]:
+    ) -> tuple[Response, str]:
         """Return the final response to a request that was not served, and its logged outcome."""
         if not pending.may_have_run and not has_running_attempts:
             # Upstreams that refused have capacity again when some of their requests have ended.
@@ -347,22 +347,22 @@
                 usual_s=self._view.durations.mean_s(pending.service),
                 left_s=pending.deadline_s - self._loop.time(),
             )
-            return self._contract.not_run(retry_after_s), "refused"
+            return self._contract.not_run_response(retry_after_s), "refused"
         if pending.failure_response is not None:
-            return self._contract.answer(pending.failure_response), "failed"
+            return self._contract.forwarded_response(pending.failure_response), "failed"
         if has_running_attempts:
-            return Answer(504), "timeout"
-        return Answer(502), "broken"
+            return Response(504), "timeout"
+        return Response(502), "broken"
 
     def _record_refusal(
         self,
-        metadata: CallerTerms,
+        metadata: RequestMetadata,
         route: str,
         reason: str,
         retry_after_s: float,
         **fields: object,
     ) -> None:
-        self._metrics.refused(reason)
+        self._metrics.count_refusal(reason)
         self._log.event(
             "refused",
             id=metadata.attempt_id,
@@ -376,7 +376,7 @@
         self, pending: PendingRequest, outcome: str, status: int, started_s: float
     ) -> None:
         duration_s = self._loop.time() - started_s
-        self._metrics.answered(pending.route.name, outcome, duration_s)
+        self._metrics.count_request(pending.route.name, outcome, duration_s)
         version = self._view.config_version
         self._log.event(
             "answered",
--- a/src/egretrail/gateway/_hub_links.py
+++ b/src/egretrail/gateway/_hub_links.py
@@ -14,7 +14,7 @@
     SendTimes,
     encode_sections,
 )
-from egretrail.gateway._interfaces import StartSettings
+from egretrail.gateway._interfaces import StartupSettings
 from egretrail.gateway._timer import Timer
 from egretrail.gateway._view import FleetView
 
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        settings: StartSettings,
+        settings: StartupSettings,
         view: FleetView,
         incarnation: int,
         send: Callable[[bytes, str], None],
@@ -83,13 +83,13 @@
         self._zone_due_s = self._cross_zone_due_s = float("-inf")
         #: Sections of other zones to relay with the next datagram to the own zone.
         self._relayed: list[bytes] = []
-        self._zone_timer.at(loop.time())
-        self._cross_zone_timer.at(loop.time())
+        self._zone_timer.schedule_at(loop.time())
+        self._cross_zone_timer.schedule_at(loop.time())
 
     def stop(self) -> None:
         """Stop sending, since another instance is the hub."""
-        self._zone_timer.stop()
-        self._cross_zone_timer.stop()
+        self._zone_timer.cancel()
+        self._cross_zone_timer.cancel()
 
     def apply_heartbeat(self, heartbeat: Heartbeat, *, direct: bool) -> None:
         """Apply a heartbeat of the own zone."""
@@ -130,7 +130,7 @@
         """Relay sections of other zones' hubs to the own zone."""
         self._relayed += encoded
         if urgent:
-            self._zone_timer.at(
+            self._zone_timer.schedule_at(
                 self._zone_sent_s + self._scaled_interval_s(_ZONE_URGENT_INTERVAL_S)
             )
 
@@ -150,14 +150,14 @@
     def _schedule_urgent(self) -> None:
         now_s = self._clock()
         zone_s = self._zone_sent_s + self._scaled_interval_s(_ZONE_URGENT_INTERVAL_S)
-        self._zone_timer.at(max(zone_s, now_s))
+        self._zone_timer.schedule_at(max(zone_s, now_s))
         self._schedule_urgent_cross_zone(now_s)
 
     def _schedule_urgent_cross_zone(self, now_s: float) -> None:
         cross_zone_s = self._cross_zone_sent_s + self._scaled_interval_s(
             _CROSS_ZONE_URGENT_INTERVAL_S
         )
-        self._cross_zone_timer.at(max(cross_zone_s, now_s))
+        self._cross_zone_timer.schedule_at(max(cross_zone_s, now_s))
 
     def _scaled_interval_s(self, interval_s: float) -> float:
         """Scale an interval for a zone of the reference size down to this zone's size."""
@@ -198,7 +198,7 @@
                 self._send(data, receiver)
         for section in sections:
             self._apply_own(section)
-        self._zone_timer.at(self._zone_due_s)
+        self._zone_timer.schedule_at(self._zone_due_s)
 
     def _send_cross_zone(self) -> None:
         now_s = self._cross_zone_sent_s = self._clock()
@@ -225,11 +225,11 @@
             for target in targets:
                 self._cross_zone_bytes["sections"] += len(data)
                 self._send(data, target)
-        self._cross_zone_timer.at(self._cross_zone_due_s)
+        self._cross_zone_timer.schedule_at(self._cross_zone_due_s)
         if self._view.has_accounts:
-            self._cross_zone_timer.at(self._accounts_sent_s + _ACCOUNTS_INTERVAL_S)
+            self._cross_zone_timer.schedule_at(self._accounts_sent_s + _ACCOUNTS_INTERVAL_S)
         if self._hub.has_outcomes_to_resend():
-            self._cross_zone_timer.at(now_s + _CROSS_ZONE_RESEND_S)
+            self._cross_zone_timer.schedule_at(now_s + _CROSS_ZONE_RESEND_S)
 
     def _cross_zone_interval_s(self) -> float:
         size_bytes = _SECTION_BYTES + _ROW_BYTES * self._hub.loaded_upstreams()
--- a/src/egretrail/gateway/_instance_listing.py
+++ b/src/egretrail/gateway/_instance_listing.py
@@ -6,7 +6,7 @@
 
 from result import Err
 
-from egretrail.gateway._interfaces import StartSettings, StoreLayout
+from egretrail.gateway._interfaces import StartupSettings, StoreLayout
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peers import PeerLinks
 from egretrail.gateway._view import FleetView
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        settings: StartSettings,
+        settings: StartupSettings,
         view: FleetView,
         store: Store,
         layout: StoreLayout,
--- a/src/egretrail/gateway/_interfaces.py
+++ b/src/egretrail/gateway/_interfaces.py
@@ -9,13 +9,13 @@
 
 from egretrail.cluster import run_to_completion
 from egretrail.dispatch import QuotaTerms
-from egretrail.http1 import Answer, ReceivedAnswer, Request
+from egretrail.http1 import ReceivedResponse, Request, Response
 from egretrail.store import Entry
 from egretrail.traffic import FleetConfig, UpstreamRecord
 
 
 @dataclass(frozen=True, slots=True)
-class StartSettings:
+class StartupSettings:
     """The settings of a gateway instance that are applied only at a start.
 
     They identify the instance to its peers, to clients and in the store, so they stay the same
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GatewaySettings(StartSettings):
+class GatewaySettings(StartupSettings):
     """All settings of a gateway instance; the fields of this class can change while it runs."""
 
     #: IP addresses of instances that are contacted first; some may be down.
@@ -93,7 +93,7 @@
     instances_prefix: str
 
     @abc.abstractmethod
-    def read_config(
+    def decode_config_in_slices(
         self, value: bytes
     ) -> Generator[None, None, Result[FleetConfig, InvalidDocument]]:
         """Decode the configuration in slices; other tasks may run at each ``yield``.
@@ -103,14 +103,14 @@
 
     def decode_config(self, value: bytes) -> Result[FleetConfig, InvalidDocument]:
         """Decode the configuration without a break."""
-        return run_to_completion(self.read_config(value))
+        return run_to_completion(self.decode_config_in_slices(value))
 
     @abc.abstractmethod
     def decode_upstream(self, entry: Entry) -> Result[UpstreamRecord, InvalidDocument]:
         """Decode an upstream's entry."""
 
 
-class AnswerKind(enum.Enum):
+class ResponseKind(enum.Enum):
     """What an upstream's response says about the request."""
 
     #: A complete response for the client.
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerTerms:
+class RequestMetadata:
     """What the headers of a client's request say."""
 
     #: The id of the client's attempt; empty if absent.
@@ -166,7 +166,7 @@
     """The HTTP headers and statuses between clients, gateways and upstreams."""
 
     @abc.abstractmethod
-    def caller_terms(self, request: Request) -> CallerTerms:
+    def request_metadata(self, request: Request) -> RequestMetadata:
         """Read the headers of a client's request."""
 
     @abc.abstractmethod
@@ -179,19 +179,19 @@
         """
 
     @abc.abstractmethod
-    def belongs(self, response: ReceivedAnswer, attempt_id: str) -> bool:
+    def belongs_to_attempt(self, response: ReceivedResponse, attempt_id: str) -> bool:
         """Return whether a response belongs to a client's attempt."""
 
     @abc.abstractmethod
-    def kind(self, response: ReceivedAnswer) -> AnswerKind:
+    def classify(self, response: ReceivedResponse) -> ResponseKind:
         """Classify an upstream's response."""
 
     @abc.abstractmethod
-    def reported_load(self, response: ReceivedAnswer) -> ReportedLoad | None:
+    def reported_load(self, response: ReceivedResponse) -> ReportedLoad | None:
         """Return the load that a response reports; None if it reports none."""
 
     @abc.abstractmethod
-    def named_limit(self, response: ReceivedAnswer) -> Result[float | None, InvalidLimit]:
+    def advertised_limit(self, response: ReceivedResponse) -> Result[float | None, InvalidLimit]:
         """Return the rate limit that a response advertises.
 
         The limit is the number of requests per second that the upstream accepts from all instances
@@ -199,23 +199,23 @@
         """
 
     @abc.abstractmethod
-    def answer(self, received: ReceivedAnswer) -> Answer:
+    def forwarded_response(self, received: ReceivedResponse) -> Response:
         """Return an upstream's response in the form for the client, with the same meaning."""
 
     @abc.abstractmethod
-    def not_run(self, retry_after_s: float, *, close: bool = False) -> Answer:
+    def not_run_response(self, retry_after_s: float, *, close: bool = False) -> Response:
         """Return the response that promises that a request has not run and never will."""
 
     @abc.abstractmethod
-    def over_quota(self, retry_after_s: float) -> Answer:
+    def over_quota_response(self, retry_after_s: float) -> Response:
         """Return the response to a request that exceeds its account's quota; it never runs."""
 
     @abc.abstractmethod
-    def directory_answer(self, addresses: Sequence[str], ttl_s: float) -> Answer:
+    def directory_response(self, addresses: Sequence[str], ttl_s: float) -> Response:
         """Return the response to a client's directory query, with instance addresses."""
 
     @abc.abstractmethod
-    def is_ready_question(self, request: Request) -> bool:
+    def is_readiness_check(self, request: Request) -> bool:
         """Return whether a request is a readiness probe."""
 
     @abc.abstractmethod
--- a/src/egretrail/gateway/_metrics.py
+++ b/src/egretrail/gateway/_metrics.py
@@ -32,12 +32,12 @@
         self._attempts: dict[str, _Histogram] = {}
         self._requests: dict[str, _Histogram] = {}
 
-    def answered(self, route: str, outcome: str, duration_s: float) -> None:
+    def count_request(self, route: str, outcome: str, duration_s: float) -> None:
         """Count a request that got its final response, or whose client disconnected."""
         self._answers[route, outcome] += 1
         self._requests.setdefault(outcome, _Histogram()).observe(duration_s)
 
-    def refused(self, reason: str) -> None:
+    def count_refusal(self, reason: str) -> None:
         """Count a refused request."""
         self._refusals[reason] += 1
 
@@ -45,11 +45,11 @@
         """Count bytes sent to or received from upstreams of other zones, by kind."""
         self._cross_zone_bytes[kind] += size_bytes
 
-    def attempted(self, outcome: str, duration_s: float) -> None:
+    def count_attempt(self, outcome: str, duration_s: float) -> None:
         """Count an outcome of an attempt at an upstream."""
         self._attempts.setdefault(outcome, _Histogram()).observe(duration_s)
 
-    def text(self, gauges: dict[str, float]) -> bytes:
+    def render(self, gauges: dict[str, float]) -> bytes:
         """Return all metrics as text; ``gauges`` holds current values by name, with labels."""
         lines = [f"egretrail_{name} {value:g}" for name, value in sorted(gauges.items())]
         for (route, outcome), count in sorted(self._answers.items()):
--- a/src/egretrail/gateway/_peer_streams.py
+++ b/src/egretrail/gateway/_peer_streams.py
@@ -10,7 +10,7 @@
 
 from egretrail.cluster import FetchMessage, MalformedMessage, encode_fetch
 from egretrail.gateway._frames import read_frame, write_frame
-from egretrail.gateway._interfaces import StartSettings
+from egretrail.gateway._interfaces import StartupSettings
 from egretrail.gateway._log import EventLog
 
 T = TypeVar("T")
@@ -124,7 +124,7 @@
 class PeerStreams:
     """Opens connections to peers and counts the fetched bytes and failures."""
 
-    def __init__(self, settings: StartSettings, log: EventLog) -> None:
+    def __init__(self, settings: StartupSettings, log: EventLog) -> None:
         self._settings = settings
         self._log = log
         #: The bytes of received replies, and the number of failed fetches.
--- a/src/egretrail/gateway/_peers.py
+++ b/src/egretrail/gateway/_peers.py
@@ -146,7 +146,7 @@
 
     def stop(self) -> None:
         """Stop sending."""
-        self._heartbeat_timer.stop()
+        self._heartbeat_timer.cancel()
         if self._hub is not None:
             self._hub.stop()
             self._hub = None
@@ -161,7 +161,7 @@
 
     def send_heartbeat(self) -> None:
         """Send a heartbeat to the hub now, and to instances that may know a hub."""
-        self._heartbeat_timer.stop()
+        self._heartbeat_timer.cancel()
         self._heartbeat_sent_s = self._loop.time()
         self._heartbeats_sent += 1
         order = self._order()
@@ -178,7 +178,7 @@
                 self._send(data, target)
         if self._repeat_heartbeat:
             self._repeat_heartbeat = False
-            self._heartbeat_timer.at(self._heartbeat_sent_s + _REPEAT_S)
+            self._heartbeat_timer.schedule_at(self._heartbeat_sent_s + _REPEAT_S)
 
     def handle_datagram(self, data: bytes, sender: str) -> None:
         """Handle a received datagram."""
@@ -308,7 +308,7 @@
         if before != section.hub:
             self._log.event("hub_followed", hub=section.hub, before=before, sender=sender)
             self._update_hub_role(now_s)
-            self._heartbeat_timer.at(now_s)
+            self._heartbeat_timer.schedule_at(now_s)
         return is_new
 
     def _apply_own_hub_section(self, section: Section) -> bool:
@@ -411,7 +411,7 @@
         batch_s = max(_BATCH_S * len(self._order()) / _BATCH_INSTANCES, _BATCH_MIN_S)
         delay_s = _URGENT_BATCH_S if urgent else batch_s
         self._repeat_heartbeat |= urgent
-        self._heartbeat_timer.at(max(self._heartbeat_sent_s + delay_s, self._loop.time()))
+        self._heartbeat_timer.schedule_at(max(self._heartbeat_sent_s + delay_s, self._loop.time()))
 
     def _send_now(self, data: bytes, target: str) -> None:
         """Send with the current ``_send``, which tests replace."""
--- a/src/egretrail/gateway/_pending_request.py
+++ b/src/egretrail/gateway/_pending_request.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 
 from egretrail.dispatch import RequestDigest
-from egretrail.gateway._interfaces import CallerTerms
-from egretrail.http1 import ReceivedAnswer, Request
+from egretrail.gateway._interfaces import RequestMetadata
+from egretrail.http1 import ReceivedResponse, Request
 from egretrail.traffic import ClientAccount, Route, RouteKind
 
 
@@ -35,7 +35,7 @@
     #: What the attempt means for the request.
     disposition: Disposition
     #: The upstream's response; None if none arrived complete and valid.
-    received: ReceivedAnswer | None = None
+    received: ReceivedResponse | None = None
     #: What went wrong, for the log.
     cause: str = ""
 
@@ -47,7 +47,7 @@
     #: The request as the client sent it.
     request: Request
     #: What its headers say.
-    metadata: CallerTerms
+    metadata: RequestMetadata
     #: Its route, in the configuration that was in force when the request was admitted.
     route: Route
     #: The service whose upstreams serve the request.
@@ -71,7 +71,7 @@
     #: Whether an upstream may have run the request.
     may_have_run: bool = False
     #: The last response with which an upstream reported a failure.
-    failure_response: ReceivedAnswer | None = None
+    failure_response: ReceivedResponse | None = None
     #: What went wrong last, for the log.
     last_cause: str = ""
 
--- a/src/egretrail/gateway/_pool.py
+++ b/src/egretrail/gateway/_pool.py
@@ -48,7 +48,7 @@
     def release(self, upstream_id: str, connection: ClientConnection) -> None:
         """Keep a connection whose exchange has ended if it can be reused, else close it."""
         idle = self._idle.setdefault(upstream_id, [])
-        if connection.reusable and len(idle) < _IDLE_PER_UPSTREAM_MAX:
+        if connection.is_reusable and len(idle) < _IDLE_PER_UPSTREAM_MAX:
             idle.append(connection)
         else:
             connection.abort()
@@ -82,4 +82,4 @@
     def _is_usable(self, connection: ClientConnection) -> bool:
         timeout_s = connection.server_idle_timeout_s or _DEFAULT_IDLE_TIMEOUT_S
         idle_s = asyncio.get_running_loop().time() - connection.idle_since_s
-        return connection.reusable and idle_s < timeout_s * _IDLE_SHARE
+        return connection.is_reusable and idle_s < timeout_s * _IDLE_SHARE
--- a/src/egretrail/gateway/_process.py
+++ b/src/egretrail/gateway/_process.py
@@ -28,7 +28,7 @@
 from egretrail.gateway._settings_file import SettingsFile, SettingsFileWatcher
 from egretrail.gateway._store_sync import StoreSync
 from egretrail.gateway._view import FleetView
-from egretrail.http1 import Answer, BodyBudget, Handler, Request, ServerConnection, ServerLimits
+from egretrail.http1 import BodyBudget, Handler, Request, Response, ServerConnection, ServerLimits
 from egretrail.store import Store
 from egretrail.traffic import ClientLimits
 
@@ -162,33 +162,33 @@
             idle_timeout_s=limits.idle_timeout_s,
         )
 
-    async def _handle_request(self, request: Request) -> Answer:
+    async def _handle_request(self, request: Request) -> Response:
         stopping_since_s = self._stopping_since_s
         if stopping_since_s is not None:
             accepting_s = self._settings.stop_grace_s * _ACCEPTING_SHARE
             if self._loop.time() - stopping_since_s > accepting_s:
-                terms = self._platform.contract.caller_terms(request)
-                self.log.event("refused", id=terms.attempt_id, route="", reason="stopping")
-                self._metrics.refused("stopping")
-                return self._platform.contract.not_run(_STOPPING_RETRY_S, close=True)
+                metadata = self._platform.contract.request_metadata(request)
+                self.log.event("refused", id=metadata.attempt_id, route="", reason="stopping")
+                self._metrics.count_refusal("stopping")
+                return self._platform.contract.not_run_response(_STOPPING_RETRY_S, close=True)
         return await self._executor.serve(request)
 
-    async def _handle_readiness(self, request: Request) -> Answer:
-        if not self._platform.contract.is_ready_question(request):
-            return Answer(404)
-        return Answer(200 if self._view.ready else 503)
+    async def _handle_readiness(self, request: Request) -> Response:
+        if not self._platform.contract.is_readiness_check(request):
+            return Response(404)
+        return Response(200 if self._view.ready else 503)
 
-    async def _handle_directory(self, request: Request) -> Answer:
+    async def _handle_directory(self, request: Request) -> Response:
         zone = self._platform.contract.directory_zone(request)
         if zone is None:
-            return Answer(404)
+            return Response(404)
         addresses = directory_addresses(self._candidates(), zone)
         if not addresses:
-            return Answer(503)
+            return Response(503)
         ttl_s = min(DIRECTORY_TTL_S, self._settings.directory_ttl_max_s)
-        return self._platform.contract.directory_answer(addresses, ttl_s)
+        return self._platform.contract.directory_response(addresses, ttl_s)
 
-    async def _handle_metrics(self, request: Request) -> Answer:
+    async def _handle_metrics(self, request: Request) -> Response:
         gauges = {
             "members": float(self._view.membership.size()),
             "upstreams": float(len(self._view.upstreams.records)),
@@ -208,7 +208,7 @@
         for service, use in self._view.retry_budget.usage(self._loop.time(), known_share).items():
             gauges[f'repeats_in_window{{service="{service}"}}'] = float(use.retries)
             gauges[f'repeats_allowed{{service="{service}"}}'] = use.allowed
-        return Answer(200, self._metrics.text(gauges), [(b"Content-Type", b"text/plain")])
+        return Response(200, self._metrics.render(gauges), [(b"Content-Type", b"text/plain")])
 
     def _candidates(self) -> list[Candidate]:
         port = self._settings.traffic_address.rpartition(":")[2]
--- a/src/egretrail/gateway/_settings_change.py
+++ b/src/egretrail/gateway/_settings_change.py
@@ -4,9 +4,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from egretrail.gateway._interfaces import GatewaySettings, StartSettings
+from egretrail.gateway._interfaces import GatewaySettings, StartupSettings
 
-_STARTUP_FIELDS = [field.name for field in dataclasses.fields(StartSettings)]
+_STARTUP_FIELDS = [field.name for field in dataclasses.fields(StartupSettings)]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/egretrail/gateway/_settings_file.py
+++ b/src/egretrail/gateway/_settings_file.py
@@ -24,7 +24,7 @@
         """Read and validate the file."""
 
     @abc.abstractmethod
-    def stamp(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         """Return a value that differs after nearly every change, without reading the file."""
 
 
@@ -53,7 +53,7 @@
         if not self._read_requested and now_s < self._next_poll_s:
             return None
         self._next_poll_s = now_s + _POLL_INTERVAL_S
-        fingerprint = self._file.stamp()
+        fingerprint = self._file.fingerprint()
         is_requested, self._read_requested = self._read_requested, False
         # A read error may go away without a change of the file.
         if is_requested or fingerprint != self._last_fingerprint or isinstance(self._accepted, Err):
--- a/src/egretrail/gateway/_slices.py
+++ b/src/egretrail/gateway/_slices.py
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 
-async def in_slices(generator: Generator[None, None, T]) -> T:
+async def run_in_slices(generator: Generator[None, None, T]) -> T:
     """Run a generator to its end and return its result; other tasks run at each ``yield``.
 
     Without slices, a hub that decodes thousands of routes sends nothing for longer than its zone's
--- a/src/egretrail/gateway/_state_exchange.py
+++ b/src/egretrail/gateway/_state_exchange.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from egretrail.gateway._config_fetch import ConfigFetch
-from egretrail.gateway._interfaces import StartSettings
+from egretrail.gateway._interfaces import StartupSettings
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peer_streams import PeerStreams, StateOffer
 from egretrail.gateway._state_answers import StateAnswers
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, settings: StartSettings, view: FleetView, log: EventLog, rng: random.Random
+        self, settings: StartupSettings, view: FleetView, log: EventLog, rng: random.Random
     ) -> None:
         self._settings = settings
         self._view = view
--- a/src/egretrail/gateway/_store_sync.py
+++ b/src/egretrail/gateway/_store_sync.py
@@ -9,10 +9,10 @@
 
 from egretrail.cluster import split_config
 from egretrail.gateway._instance_listing import InstanceListing
-from egretrail.gateway._interfaces import StartSettings, StoreLayout
+from egretrail.gateway._interfaces import StartupSettings, StoreLayout
 from egretrail.gateway._log import EventLog
 from egretrail.gateway._peers import PeerLinks
-from egretrail.gateway._slices import in_slices
+from egretrail.gateway._slices import run_in_slices
 from egretrail.gateway._view import FleetView
 from egretrail.identity import rendezvous_order
 from egretrail.store import Entry, HistoryLost, PlatformFailure, Store, StoreUnavailable
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        settings: StartSettings,
+        settings: StartupSettings,
         view: FleetView,
         store: Store,
         layout: StoreLayout,
@@ -351,7 +351,7 @@
                 continue
             arrived_s = self._loop.time()
             value = entry.value.encode(errors="surrogateescape")
-            decoded = await in_slices(self._layout.read_config(value))
+            decoded = await run_in_slices(self._layout.decode_config_in_slices(value))
             if isinstance(decoded, Err):
                 self._log.event("config_refused", revision=entry.revision, cause=decoded.err_value)
                 stored_version = 0
@@ -359,7 +359,7 @@
             if stored_version is None:
                 stored_version = decoded.ok_value.version
             if decoded.ok_value.version > self._view.config_version:
-                chunked = await in_slices(
+                chunked = await run_in_slices(
                     split_config(decoded.ok_value, self._view.configs.chunked)
                 )
                 self._log.event(
--- a/src/egretrail/gateway/_timer.py
+++ b/src/egretrail/gateway/_timer.py
@@ -13,7 +13,7 @@
         self._handle: asyncio.TimerHandle | None = None
         self._due_s = 0.0
 
-    def at(self, due_s: float) -> None:
+    def schedule_at(self, due_s: float) -> None:
         """Schedule the call at a time of the event loop's clock, or keep an earlier schedule."""
         if self._handle is not None:
             if self._due_s <= due_s:
@@ -22,7 +22,7 @@
         self._due_s = due_s
         self._handle = self._loop.call_at(due_s, self._run)
 
-    def stop(self) -> None:
+    def cancel(self) -> None:
         """Cancel the scheduled call, if any."""
         if self._handle is not None:
             self._handle.cancel()
--- a/src/egretrail/gateway/_upstreams_fetch.py
+++ b/src/egretrail/gateway/_upstreams_fetch.py
@@ -5,7 +5,7 @@
 
 from egretrail.cluster import FetchUpstreams, UpstreamsReply, decode_upstreams
 from egretrail.gateway._concurrent_fetches import ConcurrentFetches
-from egretrail.gateway._interfaces import StartSettings
+from egretrail.gateway._interfaces import StartupSettings
 from egretrail.gateway._peer_streams import PeerStreams, StateOffer
 from egretrail.gateway._view import FleetView
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        settings: StartSettings,
+        settings: StartupSettings,
         view: FleetView,
         streams: PeerStreams,
         rng: random.Random,
--- a/src/egretrail/gateway/tests/test_log.py
+++ b/src/egretrail/gateway/tests/test_log.py
@@ -67,12 +67,12 @@
 class MetricsTest(EgretrailTestCase):
     def test_text_format(self) -> None:
         metrics = GatewayMetrics()
-        metrics.answered("r", "served", 0.3)
-        metrics.attempted("success", 0.3)
-        metrics.refused("no_time")
+        metrics.count_request("r", "served", 0.3)
+        metrics.count_attempt("success", 0.3)
+        metrics.count_refusal("no_time")
         metrics.count_cross_zone_bytes("answers", 900)
         metrics.count_cross_zone_bytes("answers", 100)
-        text = metrics.text({"members": 3.0}).decode()
+        text = metrics.render({"members": 3.0}).decode()
         for line in (
             "egretrail_members 3",
             'egretrail_answers_total{route="r",outcome="served"} 1',
--- a/src/egretrail/gateway/tests/test_settings_change.py
+++ b/src/egretrail/gateway/tests/test_settings_change.py
@@ -106,7 +106,7 @@
             return Err(InvalidDocument("file", [self.contents]))
         return Ok(_changed(*self.contents))
 
-    def stamp(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         return self.version
 
 
--- a/src/egretrail/http1/__init__.py
+++ b/src/egretrail/http1/__init__.py
@@ -11,22 +11,21 @@
     ConnectFailed,
     ExchangeBroken,
     ExchangeFailed,
-    MalformedAnswer,
+    MalformedResponse,
     open_connection,
 )
 from egretrail.http1._messages import (
-    Answer,
     Headers,
-    ReceivedAnswer,
+    ReceivedResponse,
     Request,
+    Response,
     encode_request,
-    end_to_end,
+    end_to_end_headers,
     header_value,
 )
 from egretrail.http1._server import BodyBudget, Handler, ServerConnection, ServerLimits
 
 __all__ = [
-    "Answer",
     "BodyBudget",
     "ClientConnection",
     "ConnectFailed",
@@ -34,13 +33,14 @@
     "ExchangeFailed",
     "Handler",
     "Headers",
-    "MalformedAnswer",
-    "ReceivedAnswer",
+    "MalformedResponse",
+    "ReceivedResponse",
     "Request",
+    "Response",
     "ServerConnection",
     "ServerLimits",
     "encode_request",
-    "end_to_end",
+    "end_to_end_headers",
     "header_value",
     "open_connection",
 ]
--- a/src/egretrail/http1/_client.py
+++ b/src/egretrail/http1/_client.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from egretrail.http1._messages import ReceivedAnswer, header_value
+from egretrail.http1._messages import ReceivedResponse, header_value
 
 #: A connection ends when sent bytes stay unacknowledged for this long. A network path that stopped
 #: delivering packets is thus detected well before the shortest route timeouts (2 s), while three
@@ -59,7 +59,7 @@
 
 
 @dataclass
-class MalformedAnswer(ExchangeFailed):
+class MalformedResponse(ExchangeFailed):
     """The received bytes are not a valid response; the request may have run."""
 
     #: The parser's error, or the limit that was exceeded.
@@ -69,7 +69,7 @@
         return f"malformed response: {self.cause}"
 
 
-ResponsePredicate = Callable[[ReceivedAnswer], bool]
+ResponsePredicate = Callable[[ReceivedResponse], bool]
 
 
 class ClientConnection(asyncio.Protocol):
@@ -83,12 +83,12 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._response: asyncio.Future[ReceivedAnswer] | None = None
+        self._response: asyncio.Future[ReceivedResponse] | None = None
         self._accepts: ResponsePredicate | None = None
         self._without_body = False
         self._reset_message()
         #: Whether another exchange may use this connection.
-        self.reusable = True
+        self.is_reusable = True
         #: When the last exchange ended, by the loop's clock.
         self.idle_since_s = self._loop.time()
         #: How long the server keeps an idle connection open; None where it does not say.
@@ -96,18 +96,18 @@
         #: How many exchanges were started on this connection.
         self.exchange_count = 0
         #: Called when bytes of a response arrive.
-        self.on_progress: Callable[[], None] = lambda: None
+        self.on_response_bytes: Callable[[], None] = lambda: None
 
     async def exchange(
         self, data: bytes, accepts: ResponsePredicate | None = None, *, without_body: bool = False
-    ) -> ReceivedAnswer:
+    ) -> ReceivedResponse:
         """Send an encoded request and return its response.
 
         ``accepts`` decides whether a response belongs to this request; None accepts all.
         ``without_body`` is set for HEAD, whose responses end with their head. Raises ExchangeBroken
-        or MalformedAnswer. Cancellation closes the connection.
+        or MalformedResponse. Cancellation closes the connection.
         """
-        if self._transport is None or not self.reusable:
+        if self._transport is None or not self.is_reusable:
             raise ExchangeBroken("closed before it was used", response_started=False)
         self.exchange_count += 1
         self._accepts = accepts
@@ -125,12 +125,12 @@
             # The server responded before it had read the whole request. It still expects the rest
             # of the body on this connection and would read the next request as part of it.
             unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
-            if not completed or unsent or not self.reusable or without_body:
+            if not completed or unsent or not self.is_reusable or without_body:
                 self.abort()
 
     def abort(self) -> None:
         """Close the connection at once."""
-        self.reusable = False
+        self.is_reusable = False
         if self._transport is not None:
             self._transport.abort()
 
@@ -145,16 +145,16 @@
             # No exchange is active, so these bytes belong to no request.
             self.abort()
             return
-        self.on_progress()
+        self.on_response_bytes()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.reusable = False
-            self._fail(MalformedAnswer(repr(error)))
+            self.is_reusable = False
+            self._fail(MalformedResponse(repr(error)))
 
     def eof_received(self) -> bool:
         """Handle that the server closed its end of the stream; called by the event loop."""
-        self.reusable = False
+        self.is_reusable = False
         if self._head_complete and not self._has_framing:
             self._complete()
         else:
@@ -163,7 +163,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the active exchange; called by the event loop."""
-        self.reusable = False
+        self.is_reusable = False
         self._transport = None
         path_failed = isinstance(exc, OSError) and exc.errno in _PATH_FAILURE_ERRORS
         self._fail(
@@ -192,7 +192,7 @@
             or self._status < 200
         )
         if not self._parser.should_keep_alive():
-            self.reusable = False
+            self.is_reusable = False
         self._read_idle_timeout()
         if self._without_body and self._status >= 200:
             self._complete()
@@ -200,8 +200,8 @@
     def on_body(self, body: bytes) -> None:
         self._body_bytes += len(body)
         if self._body_bytes > _RESPONSE_BYTES_MAX:
-            self.reusable = False
-            self._fail(MalformedAnswer(f"body longer than {_RESPONSE_BYTES_MAX} bytes"))
+            self.is_reusable = False
+            self._fail(MalformedResponse(f"body longer than {_RESPONSE_BYTES_MAX} bytes"))
             return
         self._body.append(body)
 
@@ -230,12 +230,12 @@
                     self.server_idle_timeout_s = float(value)
 
     def _complete(self) -> None:
-        response = ReceivedAnswer(self._status, self._reason, self._headers, b"".join(self._body))
+        response = ReceivedResponse(self._status, self._reason, self._headers, b"".join(self._body))
         if self._response is None or self._response.done():
-            self.reusable = False
+            self.is_reusable = False
             return
         if self._accepts is not None and not self._accepts(response):
-            self.reusable = False
+            self.is_reusable = False
             return
         self._response.set_result(response)
 
@@ -245,11 +245,11 @@
 
 
 async def open_connection(
-    address: str, timeout_s: float, *, probed: bool = False
+    address: str, timeout_s: float, *, keepalive: bool = False
 ) -> ClientConnection:
     """Open a connection to ``IP:PORT``; raises ConnectFailed.
 
-    ``probed`` enables TCP keepalive: the connection ends within about three seconds after its
+    ``keepalive`` enables TCP keepalive: the connection ends within about three seconds after its
     network path failed, also while nothing is sent.
     """
     host, _, port = address.rpartition(":")
@@ -265,7 +265,7 @@
     if sock is not None:
         milliseconds = int(_UNACKNOWLEDGED_TIMEOUT_S * 1000)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
-        if probed:
+        if keepalive:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
--- a/src/egretrail/http1/_messages.py
+++ b/src/egretrail/http1/_messages.py
@@ -45,7 +45,7 @@
     return None
 
 
-def end_to_end(headers: Headers) -> list[tuple[bytes, bytes]]:
+def end_to_end_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
     """Return the fields that are passed on: neither of one connection nor named in Connection."""
     dropped = set(HOP_BY_HOP_FIELDS)
     for name, value in headers:
@@ -71,13 +71,13 @@
     #: When its first byte arrived, by the loop's clock.
     received_s: float
 
-    def value(self, name: bytes) -> bytes | None:
+    def header(self, name: bytes) -> bytes | None:
         """Return the value of the first field with a name, given in lower case; None if absent."""
         return header_value(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
-class ReceivedAnswer:
+class ReceivedResponse:
     """A complete response that a client connection received."""
 
     #: The status code.
@@ -89,13 +89,13 @@
     #: The complete body.
     body: bytes
 
-    def value(self, name: bytes) -> bytes | None:
+    def header(self, name: bytes) -> bytes | None:
         """Return the value of the first field with a name, given in lower case; None if absent."""
         return header_value(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A response to a client."""
 
     #: The status code.
@@ -110,7 +110,7 @@
     close: bool = False
 
 
-def encode_response(response: Answer, method: bytes, close: bool) -> bytes:
+def encode_response(response: Response, method: bytes, close: bool) -> bytes:
     """Encode a response, framed by its length."""
     reason = response.reason or _REASONS.get(response.status, b"Status")
     lines = [b"HTTP/1.1 %d %b" % (response.status, reason)]
--- a/src/egretrail/http1/_server.py
+++ b/src/egretrail/http1/_server.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from egretrail.http1._messages import Answer, Request, encode_response, header_value
+from egretrail.http1._messages import Request, Response, encode_response, header_value
 
 #: Requests of one connection that are handled concurrently; with as many, reading is paused.
 _PIPELINE_MAX = 8
@@ -61,7 +61,7 @@
 
 
 #: Handles one request; cancelled when the client disconnects.
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
     """A request that was read and whose response was not yet written."""
 
     request: Request
-    task: asyncio.Task[Answer]
+    task: asyncio.Task[Response]
     keep_alive: bool
 
 
@@ -220,7 +220,7 @@
             self._reading_paused = True
             self._transport.pause_reading()
 
-    async def _handle(self, request: Request) -> Answer:
+    async def _handle(self, request: Request) -> Response:
         return await self._handler(request)
 
     def _reset_message(self) -> None:
@@ -254,7 +254,7 @@
         self._discard_body()
         request = Request(b"GET", self._target, (), b"", self._loop.time())
         headers = [(b"Retry-After", _BUDGET_RETRY_AFTER)] if status == 503 else []
-        task = self._loop.create_task(_completed(Answer(status, headers=headers, close=True)))
+        task = self._loop.create_task(_completed(Response(status, headers=headers, close=True)))
         task.add_done_callback(lambda _: self._write_ready_responses())
         self._exchanges.append(_Exchange(request, task, keep_alive=False))
 
@@ -269,7 +269,7 @@
                 self._loop.call_exception_handler(
                     {"message": "request handler failed", "exception": error}
                 )
-            response = Answer(500, close=True) if error is not None else exchange.task.result()
+            response = Response(500, close=True) if error is not None else exchange.task.result()
             # Requests behind this one may have been forwarded already and get their responses.
             is_last = self._close_when_done and not self._exchanges
             close = response.close or not exchange.keep_alive or is_last
@@ -323,5 +323,5 @@
         self._idle_timer = self._loop.call_later(left_s, self._check_idle)
 
 
-async def _completed(response: Answer) -> Answer:
+async def _completed(response: Response) -> Response:
     return response
--- a/src/egretrail/http1/tests/test_http1.py
+++ b/src/egretrail/http1/tests/test_http1.py
@@ -4,17 +4,17 @@
 from collections.abc import Awaitable, Callable
 
 from egretrail.http1 import (
-    Answer,
     BodyBudget,
     ExchangeBroken,
     ExchangeFailed,
     Handler,
-    MalformedAnswer,
+    MalformedResponse,
     Request,
+    Response,
     ServerConnection,
     ServerLimits,
     encode_request,
-    end_to_end,
+    end_to_end_headers,
     open_connection,
 )
 from egretrail.testing import EgretrailTestCase, cases
@@ -22,11 +22,11 @@
 _LIMITS = ServerLimits(header_bytes=1000, body_bytes=2000, header_timeout_s=0.2, idle_timeout_s=0.5)
 
 
-async def _echo(request: Request) -> Answer:
+async def _echo(request: Request) -> Response:
     """Respond with the method, target and body; targets under ``/slow`` take 0.1 s."""
     if request.target.startswith(b"/slow"):
         await asyncio.sleep(0.1)
-    return Answer(200, request.method + b" " + request.target + b" " + request.body)
+    return Response(200, request.method + b" " + request.target + b" " + request.body)
 
 
 class ServerTest(EgretrailTestCase):
@@ -170,10 +170,10 @@
 
         started, release = asyncio.Event(), asyncio.Event()
 
-        async def hold(request: Request) -> Answer:
+        async def hold(request: Request) -> Response:
             started.set()
             await release.wait()
-            return Answer(200)
+            return Response(200)
 
         async def run() -> None:
             await self._serve(hold, act)
@@ -195,13 +195,13 @@
     def test_requests_are_cancelled_when_the_client_disconnects(self) -> None:
         cancelled = asyncio.Event()
 
-        async def wait(request: Request) -> Answer:
+        async def wait(request: Request) -> Response:
             try:
                 await asyncio.sleep(30)
             except asyncio.CancelledError:
                 cancelled.set()
                 raise
-            return Answer(200)
+            return Response(200)
 
         async def act(address: str, connections: set[ServerConnection]) -> None:
             host, _, port = address.partition(":")
@@ -245,12 +245,12 @@
             try:
                 async with asyncio.timeout(5):
                     response = await connection.exchange(
-                        _GET, lambda response: response.value(b"id") in (None, b"mine")
+                        _GET, lambda response: response.header(b"id") in (None, b"mine")
                     )
                 outcome = response.body
             except ExchangeFailed as error:
                 outcome = error
-            reusable = connection.reusable
+            reusable = connection.is_reusable
             connection.abort()
             server.close()
             return outcome, reusable
@@ -288,7 +288,7 @@
             ),
             "closed": (b"", ExchangeBroken),
             "only another request's response": (_OTHER, ExchangeBroken),
-            "nonsense": (b"\x00\x01nonsense\r\n\r\n", MalformedAnswer),
+            "nonsense": (b"\x00\x01nonsense\r\n\r\n", MalformedResponse),
         }
     )
     def test_an_incomplete_or_invalid_response_raises_a_typed_error(
@@ -322,4 +322,4 @@
         self, case: tuple[list[tuple[bytes, bytes]], list[tuple[bytes, bytes]]]
     ) -> None:
         fields, expected = case
-        self.assertEqual(expected, end_to_end(fields))
+        self.assertEqual(expected, end_to_end_headers(fields))
--- a/src/egretrail/platform/_contract.py
+++ b/src/egretrail/platform/_contract.py
@@ -8,13 +8,13 @@
 from result import Err, Ok, Result
 
 from egretrail.gateway import (
-    AnswerKind,
-    CallerTerms,
     InvalidLimit,
     ReportedLoad,
     RequestContract,
+    RequestMetadata,
+    ResponseKind,
 )
-from egretrail.http1 import Answer, ReceivedAnswer, Request, end_to_end, header_value
+from egretrail.http1 import ReceivedResponse, Request, Response, end_to_end_headers, header_value
 
 _ATTEMPT_ID = b"x-egretrail-attempt-id"
 #: The remaining time in milliseconds, counted from the arrival of the message; not a point in time.
@@ -51,15 +51,15 @@
 class PlatformContract(RequestContract):
     """The HTTP contract between clients, gateways and upstreams on the platform."""
 
-    def caller_terms(self, request: Request) -> CallerTerms:
+    def request_metadata(self, request: Request) -> RequestMetadata:
         """Return the attempt id, host, wait time and API key of a client's request."""
-        stated = request.value(_DEADLINE)
+        stated = request.header(_DEADLINE)
         wait_s = None
         if stated is not None and stated.strip().isdigit():
             wait_s = int(stated) / 1000
-        return CallerTerms(
-            attempt_id=_decode_header(request.value(_ATTEMPT_ID)),
-            host=_decode_header(request.value(b"host")),
+        return RequestMetadata(
+            attempt_id=_decode_header(request.header(_ATTEMPT_ID)),
+            host=_decode_header(request.header(b"host")),
             wait_s=wait_s,
             api_key=_api_key(request),
         )
@@ -70,7 +70,7 @@
         """Return the headers of a request as it is sent to an upstream."""
         fields = [
             (name, value)
-            for name, value in end_to_end(request.headers)
+            for name, value in end_to_end_headers(request.headers)
             if name.lower() not in _REPLACED_REQUEST_HEADERS
         ]
         fields.append((_DEADLINE, b"%d" % max(int(left_s * 1000), 1)))
@@ -79,49 +79,49 @@
             fields.append((_ACCOUNT, account.encode()))
         return fields
 
-    def belongs(self, response: ReceivedAnswer, attempt_id: str) -> bool:
+    def belongs_to_attempt(self, response: ReceivedResponse, attempt_id: str) -> bool:
         """Return whether a response belongs to a client attempt.
 
         A response without an attempt id is taken to belong to the attempt.
         """
-        stated = response.value(_ATTEMPT_ID)
+        stated = response.header(_ATTEMPT_ID)
         return stated is None or _decode_header(stated) == attempt_id
 
-    def kind(self, response: ReceivedAnswer) -> AnswerKind:
+    def classify(self, response: ReceivedResponse) -> ResponseKind:
         """Classify an upstream's response."""
         if response.status == 421:
-            return AnswerKind.WRONG_UPSTREAM
-        if response.value(_NOT_EXECUTED) is not None:
-            return AnswerKind.NOT_RUN
-        if response.value(b"content-encoding") is not None:
+            return ResponseKind.WRONG_UPSTREAM
+        if response.header(_NOT_EXECUTED) is not None:
+            return ResponseKind.NOT_RUN
+        if response.header(b"content-encoding") is not None:
             # Clients request no content encoding, so an encoded body is not the upstream's own.
-            return AnswerKind.INVALID
-        sealed = response.value(_RESPONSE_SEAL) is not None
+            return ResponseKind.INVALID
+        sealed = response.header(_RESPONSE_SEAL) is not None
         if response.status == 504:
             # An upstream stops work at the deadline that it was given.
-            return AnswerKind.EXPIRED
+            return ResponseKind.EXPIRED
         if response.status >= 500:
-            return AnswerKind.FAILED
+            return ResponseKind.FAILED
         if response.status < 300 and not sealed:
-            return AnswerKind.INVALID
+            return ResponseKind.INVALID
         if response.status in _NOT_EXECUTED_STATUSES:
             # Without the not-executed header the request may have been executed.
-            return AnswerKind.FAILED
-        return AnswerKind.SERVED
+            return ResponseKind.FAILED
+        return ResponseKind.SERVED
 
-    def reported_load(self, response: ReceivedAnswer) -> ReportedLoad | None:
+    def reported_load(self, response: ReceivedResponse) -> ReportedLoad | None:
         """Return the load that a response reports; None if it reports none or is malformed."""
-        parts = (response.value(_BACKEND_LOAD) or b"").split(b",")
+        parts = (response.header(_BACKEND_LOAD) or b"").split(b",")
         if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
             return None
         return ReportedLoad(running=int(parts[0]), waiting=int(parts[1]))
 
-    def named_limit(self, response: ReceivedAnswer) -> Result[float | None, InvalidLimit]:
+    def advertised_limit(self, response: ReceivedResponse) -> Result[float | None, InvalidLimit]:
         """Return the requests per second that the upstream accepts from all instances together.
 
         The result is None when the response states no limit.
         """
-        stated = response.value(_RATE_LIMIT)
+        stated = response.header(_RATE_LIMIT)
         if stated is None:
             return Ok(None)
         try:
@@ -132,7 +132,7 @@
             return Err(InvalidLimit(_decode_header(stated)))
         return Ok(limit_per_s)
 
-    def answer(self, received: ReceivedAnswer) -> Answer:
+    def forwarded_response(self, received: ReceivedResponse) -> Response:
         """Return an upstream's response as it is passed to the client.
 
         Some statuses guarantee to the client that the request was not executed. Without the
@@ -140,34 +140,34 @@
         without the upstream's seal.
         """
         if received.status in _NOT_EXECUTED_STATUSES:
-            return Answer(502)
+            return Response(502)
         fields = [
             (name, value)
-            for name, value in end_to_end(received.headers)
+            for name, value in end_to_end_headers(received.headers)
             if name.lower() not in _DROPPED_RESPONSE_HEADERS
         ]
         length = header_value(received.headers, b"content-length")
         if length is not None and not received.body:
             # Kept for responses to HEAD, which have no body; the encoder drops it otherwise.
             fields.append((b"content-length", length))
-        return Answer(received.status, received.body, fields, received.reason)
+        return Response(received.status, received.body, fields, received.reason)
 
-    def not_run(self, retry_after_s: float, *, close: bool = False) -> Answer:
+    def not_run_response(self, retry_after_s: float, *, close: bool = False) -> Response:
         """Return the response that guarantees that a request was not executed and never will be."""
-        return Answer(503, headers=[(b"Retry-After", b"%.2f" % retry_after_s)], close=close)
+        return Response(503, headers=[(b"Retry-After", b"%.2f" % retry_after_s)], close=close)
 
-    def over_quota(self, retry_after_s: float) -> Answer:
+    def over_quota_response(self, retry_after_s: float) -> Response:
         """Return the response to a request beyond the remaining quota; it is never executed."""
-        return Answer(429, headers=[(b"Retry-After", b"%.2f" % retry_after_s)])
+        return Response(429, headers=[(b"Retry-After", b"%.2f" % retry_after_s)])
 
-    def directory_answer(self, addresses: Sequence[str], ttl_s: float) -> Answer:
+    def directory_response(self, addresses: Sequence[str], ttl_s: float) -> Response:
         """Return the response to a client that asks which addresses to use."""
         # ``ttl`` is how long the client may cache the response; the value carries its unit.
         document = {"addresses": list(addresses), "ttl": f"{round(ttl_s * 1000)}ms"}
         body = json.dumps(document, separators=(",", ":")).encode()
-        return Answer(200, body, [(b"Content-Type", b"application/json")])
+        return Response(200, body, [(b"Content-Type", b"application/json")])
 
-    def is_ready_question(self, request: Request) -> bool:
+    def is_readiness_check(self, request: Request) -> bool:
         """Return whether a request is a readiness check."""
         return request.method == b"GET" and request.target.partition(b"?")[0] == _READY_PATH
 
--- a/src/egretrail/platform/_layout.py
+++ b/src/egretrail/platform/_layout.py
@@ -41,7 +41,7 @@
     upstreams_prefix = "servers/"
     instances_prefix = "egretrail/instances/"
 
-    def read_config(
+    def decode_config_in_slices(
         self, value: bytes
     ) -> Generator[None, None, Result[FleetConfig, InvalidDocument]]:
         """Decode the configuration in slices; any fault rejects the whole value."""
--- a/src/egretrail/platform/_node_file.py
+++ b/src/egretrail/platform/_node_file.py
@@ -27,7 +27,7 @@
         """Read and decode the file."""
         return read_node_file(self._path)
 
-    def stamp(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         """Return the inode, size and change times, or the error number of a failed stat."""
         try:
             status = self._path.stat()
--- a/src/egretrail/platform/_store.py
+++ b/src/egretrail/platform/_store.py
@@ -15,7 +15,7 @@
     ClientConnection,
     ConnectFailed,
     ExchangeFailed,
-    ReceivedAnswer,
+    ReceivedResponse,
     encode_request,
     open_connection,
 )
@@ -255,14 +255,14 @@
             if written_path is not None:
                 return Err(WriteUnknown(written_path, cause))
             return Err(StoreUnavailable(call, cause))
-        if connection.reusable and len(self._idle_connections) < self._idle_connections_max:
+        if connection.is_reusable and len(self._idle_connections) < self._idle_connections_max:
             self._idle_connections.append(connection)
         else:
             connection.abort()
         if response.status in _UNAVAILABLE_STATUSES:
             return Err(StoreUnavailable(call, f"status {response.status}"))
         try:
-            era = int(response.value(_ERA_HEADER) or 0)
+            era = int(response.header(_ERA_HEADER) or 0)
             self._era = max(self._era, era)
             document = json.loads(response.body) if response.body else {}
             return Ok(_Reply(response.status, document, era))
@@ -272,15 +272,15 @@
     async def _connection(self) -> ClientConnection:
         while self._idle_connections:
             connection = self._idle_connections.pop()
-            if connection.reusable:
+            if connection.is_reusable:
                 return connection
         # A watch waits for seconds, in which the network path may fail without any notice.
-        return await open_connection(self._address, _CONNECT_TIMEOUT_S, probed=True)
+        return await open_connection(self._address, _CONNECT_TIMEOUT_S, keepalive=True)
 
 
 async def _exchange(
     connection: ClientConnection, data: bytes, wait_s: float, call_timeout_s: float
-) -> ReceivedAnswer:
+) -> ReceivedResponse:
     """Send a request and return its response; each piece that arrives extends the time-out."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(wait_s + call_timeout_s) as limit:
@@ -290,11 +290,11 @@
                 end_s = loop.time() + call_timeout_s
                 limit.reschedule(max(limit.when() or end_s, end_s))
 
-        connection.on_progress = extend
+        connection.on_response_bytes = extend
         try:
             return await connection.exchange(data)
         finally:
-            connection.on_progress = lambda: None
+            connection.on_response_bytes = lambda: None
 
 
 def _refused(call: str, status: int) -> StoreRefused:
--- a/src/egretrail/platform/tests/test_platform.py
+++ b/src/egretrail/platform/tests/test_platform.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from egretrail.gateway import AnswerKind
-from egretrail.http1 import ReceivedAnswer, Request
+from egretrail.gateway import ResponseKind
+from egretrail.http1 import ReceivedResponse, Request
 from egretrail.platform import NodeFile, PlatformContract, PlatformLayout, read_node_file
 from egretrail.store import Entry
 from egretrail.testing import EgretrailTestCase, cases
@@ -24,35 +24,38 @@
 _NOT_EXECUTED = (b"X-Egretrail-Not-Executed", b"1")
 
 
-def _response(status: int, *headers: tuple[bytes, bytes], body: bytes = b"x") -> ReceivedAnswer:
-    return ReceivedAnswer(status, b"", list(headers), body)
+def _response(status: int, *headers: tuple[bytes, bytes], body: bytes = b"x") -> ReceivedResponse:
+    return ReceivedResponse(status, b"", list(headers), body)
 
 
 class AnswerKindTest(EgretrailTestCase):
     @cases(
         {
-            "served": (_response(200, _SEAL), AnswerKind.SERVED),
-            "refused by the application": (_response(404, _SEAL), AnswerKind.SERVED),
-            "without a seal": (_response(200), AnswerKind.INVALID),
-            "encoded": (_response(200, _SEAL, (b"Content-Encoding", b"gzip")), AnswerKind.INVALID),
-            "full": (_response(503, _NOT_EXECUTED), AnswerKind.NOT_RUN),
-            "no id": (_response(400, _NOT_EXECUTED), AnswerKind.NOT_RUN),
-            "busy without the mark": (_response(503, _SEAL), AnswerKind.FAILED),
-            "too many without the mark": (_response(429, _SEAL), AnswerKind.FAILED),
-            "another instance": (_response(421), AnswerKind.WRONG_UPSTREAM),
-            "failed": (_response(500, _SEAL), AnswerKind.FAILED),
-            "out of time": (_response(504, _SEAL), AnswerKind.EXPIRED),
+            "served": (_response(200, _SEAL), ResponseKind.SERVED),
+            "refused by the application": (_response(404, _SEAL), ResponseKind.SERVED),
+            "without a seal": (_response(200), ResponseKind.INVALID),
+            "encoded": (
+                _response(200, _SEAL, (b"Content-Encoding", b"gzip")),
+                ResponseKind.INVALID,
+            ),
+            "full": (_response(503, _NOT_EXECUTED), ResponseKind.NOT_RUN),
+            "no id": (_response(400, _NOT_EXECUTED), ResponseKind.NOT_RUN),
+            "busy without the mark": (_response(503, _SEAL), ResponseKind.FAILED),
+            "too many without the mark": (_response(429, _SEAL), ResponseKind.FAILED),
+            "another instance": (_response(421), ResponseKind.WRONG_UPSTREAM),
+            "failed": (_response(500, _SEAL), ResponseKind.FAILED),
+            "out of time": (_response(504, _SEAL), ResponseKind.EXPIRED),
         }
     )
-    def test_kind(self, case: tuple[ReceivedAnswer, AnswerKind]) -> None:
+    def test_kind(self, case: tuple[ReceivedResponse, ResponseKind]) -> None:
         response, expected = case
-        self.assertIs(expected, _CONTRACT.kind(response))
+        self.assertIs(expected, _CONTRACT.classify(response))
 
     @cases({"503": 503, "429": 429, "408": 408})
     def test_a_not_executed_status_without_the_header_becomes_502_without_seal(
         self, status: int
     ) -> None:
-        forwarded = _CONTRACT.answer(_response(status, _SEAL))
+        forwarded = _CONTRACT.forwarded_response(_response(status, _SEAL))
         self.assertEqual(502, forwarded.status)
         self.assertNotIn(_SEAL, forwarded.headers)
 
@@ -60,7 +63,7 @@
         received = _response(
             200, _SEAL, _ID, (b"X-Own", b"1"), (b"Connection", b"close, x-hop"), (b"X-Hop", b"2")
         )
-        forwarded = _CONTRACT.answer(received)
+        forwarded = _CONTRACT.forwarded_response(received)
         self.assertEqual((200, b"x"), (forwarded.status, forwarded.body))
         self.assertEqual([_SEAL, _ID, (b"X-Own", b"1")], list(forwarded.headers))
 
@@ -76,19 +79,19 @@
     def test_advertised_rate_limit(self, case: tuple[bytes | None, float | None]) -> None:
         stated, expected = case
         headers = [] if stated is None else [(b"Server-Limit", stated)]
-        named = _CONTRACT.named_limit(_response(200, _SEAL, *headers))
+        named = _CONTRACT.advertised_limit(_response(200, _SEAL, *headers))
         self.assertEqual(Ok(expected), named)
 
     @cases({"text": b"few", "negative": b"-1", "infinite": b"inf", "none": b"nan", "empty": b""})
     def test_an_invalid_rate_limit_is_rejected(self, stated: bytes) -> None:
-        named = _CONTRACT.named_limit(_response(200, _SEAL, (b"Server-Limit", stated)))
+        named = _CONTRACT.advertised_limit(_response(200, _SEAL, (b"Server-Limit", stated)))
         self.assertIsInstance(named, Err)
 
     @cases({"own": (b"a1", True), "another's": (b"a2", False), "none": (None, True)})
     def test_response_belongs_to_attempt(self, case: tuple[bytes | None, bool]) -> None:
         stated, expected = case
         headers = [] if stated is None else [(b"X-Egretrail-Attempt-Id", stated)]
-        self.assertIs(expected, _CONTRACT.belongs(_response(200, *headers), "a1"))
+        self.assertIs(expected, _CONTRACT.belongs_to_attempt(_response(200, *headers), "a1"))
 
 
 class RequestTest(EgretrailTestCase):
@@ -139,7 +142,7 @@
     )
     def test_api_key(self, case: tuple[list[tuple[bytes, bytes]], bytes | None]) -> None:
         headers, expected = case
-        terms = _CONTRACT.caller_terms(self._request(*headers))
+        terms = _CONTRACT.request_metadata(self._request(*headers))
         self.assertEqual(expected, terms.api_key)
         self.assertNotIn("k1", repr(terms))
 
@@ -147,13 +150,13 @@
     def test_client_wait_time(self, case: tuple[bytes | None, float | None]) -> None:
         stated, expected = case
         headers = [(b"X-Egretrail-Request-Deadline", stated)] if stated is not None else []
-        self.assertEqual(expected, _CONTRACT.caller_terms(self._request(*headers)).wait_s)
+        self.assertEqual(expected, _CONTRACT.request_metadata(self._request(*headers)).wait_s)
 
     def test_directory_request_and_response(self) -> None:
         asked = self._request(target=b"/api/resolve?name=x&region=r&zone=espoo-b")
         self.assertEqual("espoo-b", _CONTRACT.directory_zone(asked))
         self.assertIsNone(_CONTRACT.directory_zone(self._request()))
-        response = _CONTRACT.directory_answer(["10.0.0.1:80"], 1.5)
+        response = _CONTRACT.directory_response(["10.0.0.1:80"], 1.5)
         self.assertEqual({"addresses": ["10.0.0.1:80"], "ttl": "1500ms"}, json.loads(response.body))
 
 
@@ -420,10 +423,10 @@
             path = Path(folder) / "node.toml"
             path.write_text(_NODE)
             file = NodeFile(path)
-            before = file.stamp()
-            self.assertEqual(before, file.stamp())
+            before = file.fingerprint()
+            self.assertEqual(before, file.fingerprint())
             change(path)
-            self.assertNotEqual(before, file.stamp())
+            self.assertNotEqual(before, file.fingerprint())
 
     @cases(
         {
