--- a/scaffolding/platform/fleet.py
+++ b/scaffolding/platform/fleet.py
@@ -249,7 +249,7 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def read_log(self, number: int) -> str:
+    def log(self, number: int) -> str:
         """Return a gateway's log."""
         return (self._directory / f"node-{number}.log").read_text()
 
--- a/scaffolding/tests/test_gateway_processes.py
+++ b/scaffolding/tests/test_gateway_processes.py
@@ -110,7 +110,7 @@
                 harness.fleet.store.remove(f"servers/{backend.id}")
 
             async def logged() -> bool:
-                return all(f"upstream={backend.id}" in harness.fleet.read_log(n) for n in range(3))
+                return all(f"upstream={backend.id}" in harness.fleet.log(n) for n in range(3))
 
             await harness.wait_until(logged, "all gateways know")
             before = sum(backend.runs.values())
@@ -188,7 +188,7 @@
             store.write("op/config", {"version": "00000009", "routes": "none"})
 
             async def refused() -> bool:
-                return any("config_refused" in harness.fleet.read_log(n) for n in range(3))
+                return any("config_refused" in harness.fleet.log(n) for n in range(3))
 
             await harness.wait_until(refused, "refused")
             self.assertTrue(await in_force_everywhere())
@@ -216,8 +216,8 @@
             for number in range(4):
                 self.assertEqual(200, (await harness.send_read(number, "/many/2999/1")).status)
                 self.assertEqual(404, (await harness.send_read(number, "/new/5/1")).status)
-                self.assertNotIn("task_failed", harness.fleet.read_log(number))
-                self.assertIn("routes=3003 behind_s", harness.fleet.read_log(number))
+                self.assertNotIn("task_failed", harness.fleet.log(number))
+                self.assertIn("routes=3003 behind_s", harness.fleet.log(number))
 
         self.run_scenario(scenario, count=4)
 
@@ -250,15 +250,11 @@
             await harness.wait_until(in_force_everywhere, "in force")
 
             async def logged() -> bool:
-                return all(
-                    "version=7 before" in harness.fleet.read_log(number) for number in (0, 2)
-                )
+                return all("version=7 before" in harness.fleet.log(number) for number in (0, 2))
 
             await harness.wait_until(logged, "logged")
             for number in (0, 2):
-                [line] = [
-                    x for x in harness.fleet.read_log(number).splitlines() if "version=7 be" in x
-                ]
+                [line] = [x for x in harness.fleet.log(number).splitlines() if "version=7 be" in x]
                 self.assertIn('source="peer ', line)
 
         self.run_scenario(scenario, count=4)
--- a/scaffolding/tests/test_gateway_settings.py
+++ b/scaffolding/tests/test_gateway_settings.py
@@ -31,9 +31,7 @@
 
 
 def _events(harness: FleetHarness, number: int, event: str) -> list[str]:
-    return [
-        line for line in harness.fleet.read_log(number).splitlines() if f"event={event} " in line
-    ]
+    return [line for line in harness.fleet.log(number).splitlines() if f"event={event} " in line]
 
 
 class ReloadTest(GatewayTest):
