--- a/scaffolding/platform/backend.py
+++ b/scaffolding/platform/backend.py
@@ -90,7 +90,7 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def record(self, state: str = "ready") -> dict[str, object]:
+    def store_entry(self, state: str = "ready") -> dict[str, object]:
         """Return the backend's entry in the store."""
         stated = {"born": self.born} if self.born else {}
         return {
--- a/scaffolding/platform/demo.py
+++ b/scaffolding/platform/demo.py
@@ -16,12 +16,12 @@
 
 from scaffolding.platform.backend import Behaviour, StandInBackend
 from scaffolding.platform.client import AttemptResult, GatewayClient
-from scaffolding.platform.fleet import HOST, GatewayFleet, config, order_route, route
+from scaffolding.platform.fleet import HOST, GatewayFleet, at_most_once_route, config, route
 from scaffolding.platform.store import StoreMode
 
 _GATEWAYS = 6
 _BACKENDS = 8
-_ROUTES = [route("read", "/read/", "catalogue"), order_route("order", "/order/", "orders")]
+_ROUTES = [route("read", "/read/", "catalogue"), at_most_once_route("order", "/order/", "orders")]
 #: In each failure period, of this length, each backend fails with this probability.
 _FAILURE_SHARE = 0.3
 _FAILURE_PERIOD_S = 2.0
@@ -118,7 +118,7 @@
         fleet, step_s = self._fleet, self._seconds / 6
         await asyncio.sleep(step_s)
         draining = fleet.backends[0]
-        fleet.store.write(f"servers/{draining.id}", draining.record("draining"))
+        fleet.store.write(f"servers/{draining.id}", draining.store_entry("draining"))
         await asyncio.sleep(step_s)
         fleet.store.mode = StoreMode.UNAVAILABLE
         fleet.signal_gateway(2)
--- a/scaffolding/platform/fleet.py
+++ b/scaffolding/platform/fleet.py
@@ -67,14 +67,14 @@
     }
 
 
-def order_route(name: str, prefix: str, service: str, **fields: object) -> dict[str, object]:
+def at_most_once_route(name: str, prefix: str, service: str, **fields: object) -> dict[str, object]:
     """Return a route whose requests run at most once."""
     return route(name, prefix, service, routeType="unsafe", **fields)
 
 
 def single_attempt_route(name: str, prefix: str, service: str) -> dict[str, object]:
     """Return a route whose requests are sent only once, even if the upstream rejects them."""
-    return order_route(name, prefix, service, maxAttempts=1)
+    return at_most_once_route(name, prefix, service, maxAttempts=1)
 
 
 def account(name: str, *keys: str, **fields: object) -> dict[str, object]:
@@ -216,7 +216,7 @@
             backend = StandInBackend(service, zone, **fields)  # type: ignore[arg-type]
             await backend.start()
             self.backends.append(backend)
-            self.store.write(f"servers/{backend.id}", backend.record())
+            self.store.write(f"servers/{backend.id}", backend.store_entry())
 
     def is_running(self, number: int) -> bool:
         """Return whether a gateway's process is running."""
--- a/scaffolding/soak/_fault_driver.py
+++ b/scaffolding/soak/_fault_driver.py
@@ -245,7 +245,7 @@
             return
         self._fleet.backends.remove(backend)
         await self._add_backend(backend.service, backend.zone)
-        record = {**backend.record("draining"), "address": self._links[backend.id].address}
+        record = {**backend.store_entry("draining"), "address": self._links[backend.id].address}
         self._fleet.store.write(f"servers/{backend.id}", record)
         drained_s = asyncio.get_running_loop().time()
         self.drains.append((backend, drained_s, _DRAIN_S + _MACHINE_S))
@@ -301,7 +301,7 @@
         self._links[backend.id] = link
         self.all_backends.append(backend)
         self._fleet.backends.append(backend)
-        record = {**backend.record(), "address": link.address}
+        record = {**backend.store_entry(), "address": link.address}
         self._fleet.store.write(f"servers/{backend.id}", record)
 
     # The store and the configuration
--- a/scaffolding/soak/_run.py
+++ b/scaffolding/soak/_run.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from scaffolding.platform import GatewayClient, GatewayFleet
-from scaffolding.platform.fleet import HOST, config, order_route, route
+from scaffolding.platform.fleet import HOST, at_most_once_route, config, route
 from scaffolding.soak._client import KeepAliveClient
 from scaffolding.soak._fault_driver import FaultDriver
 from scaffolding.soak._guarantees import GuaranteeChecker, SentAttempt
@@ -88,7 +88,7 @@
     def _write_config(self, version: int, moving_service: str) -> None:
         rows = [
             route("read", "/read/", "catalogue"),
-            order_route("order", "/order/", "orders"),
+            at_most_once_route("order", "/order/", "orders"),
             route("moving", "/moving/", moving_service),
         ]
         self._fleet.store.write("op/config", config(version, rows))
--- a/scaffolding/tests/gateway_harness.py
+++ b/scaffolding/tests/gateway_harness.py
@@ -5,7 +5,7 @@
 
 from egretrail.testing import EgretrailTestCase
 from scaffolding.platform import AttemptResult, GatewayClient, GatewayFleet
-from scaffolding.platform.fleet import HOST, config, order_route, route
+from scaffolding.platform.fleet import HOST, at_most_once_route, config, route
 
 _LIMIT_S = 60.0
 #: Time-out that ends a hanging test; a healthy fleet needs a fraction of it.
@@ -13,7 +13,7 @@
 
 ROUTES = [
     route("read", "/read/", "catalogue", timeout="20000ms"),
-    order_route("order", "/order/", "orders", timeout="20000ms"),
+    at_most_once_route("order", "/order/", "orders", timeout="20000ms"),
 ]
 
 Scenario = Callable[["FleetHarness"], Awaitable[None]]
--- a/scaffolding/tests/test_gateway_processes.py
+++ b/scaffolding/tests/test_gateway_processes.py
@@ -105,7 +105,7 @@
         async def scenario(harness: FleetHarness) -> None:
             backend = harness.fleet.backends[0]
             if how == "draining":
-                harness.fleet.store.write(f"servers/{backend.id}", backend.record("draining"))
+                harness.fleet.store.write(f"servers/{backend.id}", backend.store_entry("draining"))
             else:
                 harness.fleet.store.remove(f"servers/{backend.id}")
 
@@ -126,14 +126,14 @@
             old = harness.fleet.backends[0]
             key = f"servers/{old.id}"
             if drained:
-                harness.fleet.store.write(key, {**old.record("draining"), "born": 1_000})
+                harness.fleet.store.write(key, {**old.store_entry("draining"), "born": 1_000})
             await old.stop()
             new = StandInBackend(old.service, old.zone, id=old.id, born=2_000)
             await new.start()
             harness.fleet.backends.append(new)
-            harness.fleet.store.write(key, new.record())
+            harness.fleet.store.write(key, new.store_entry())
             # A late write of the old lifetime, which must not make the new one drain.
-            harness.fleet.store.write(key, {**old.record("draining"), "born": 1_000})
+            harness.fleet.store.write(key, {**old.store_entry("draining"), "born": 1_000})
 
             async def gets_work() -> bool:
                 await asyncio.gather(*(harness.send_read(number % 3) for number in range(12)))
--- a/src/egretrail/gateway/tests/test_executor.py
+++ b/src/egretrail/gateway/tests/test_executor.py
@@ -21,15 +21,15 @@
 from egretrail.gateway.tests.settings import gateway_settings
 from egretrail.http1 import ClientConnection, Request
 from egretrail.platform import PlatformContract, PlatformLayout
-from egretrail.platform.tests.requests import client_request, has_api_key, told_account
+from egretrail.platform.tests.requests import client_request, forwarded_account, has_api_key
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.traffic import UpstreamRecord, UpstreamState
 from scaffolding.platform import Behaviour, StandInBackend
 from scaffolding.platform.fleet import (
     HOST,
     account,
+    at_most_once_route,
     config,
-    order_route,
     route,
     single_attempt_route,
 )
@@ -37,7 +37,7 @@
 _ROUTES = [
     route("read", "/read/", "s", timeout="1500ms"),
     route("open", "/open/", "s", public=True),
-    order_route("order", "/order/", "s", timeout="1500ms"),
+    at_most_once_route("order", "/order/", "s", timeout="1500ms"),
     single_attempt_route("once", "/once/", "s"),
 ]
 
@@ -144,7 +144,7 @@
             self.assertEqual(expected, (await executor.serve(request)).status)
             self.assertEqual([expected == 200], [bool(backend.headers)])
             for headers in backend.headers.values():
-                self.assertEqual(name, told_account(headers))
+                self.assertEqual(name, forwarded_account(headers))
                 self.assertFalse(has_api_key(headers))
 
         self._run_with_backend(scenario, [account("acme", "k1", "k2")])
--- a/src/egretrail/gateway/tests/test_store_sync.py
+++ b/src/egretrail/gateway/tests/test_store_sync.py
@@ -37,7 +37,7 @@
 from scaffolding.platform.fleet import account, config, route
 
 _ROUTES = [route("read", "/read/", "s")]
-_ENTRY = {**StandInBackend("s", "zone-a").record(), "address": "10.0.0.1:1"}
+_ENTRY = {**StandInBackend("s", "zone-a").store_entry(), "address": "10.0.0.1:1"}
 
 
 class _Reader(StoreSync):
--- a/src/egretrail/platform/tests/requests.py
+++ b/src/egretrail/platform/tests/requests.py
@@ -20,7 +20,7 @@
     return Request(method, target, headers, b"", asyncio.get_running_loop().time())
 
 
-def told_account(headers: Mapping[str, str]) -> str | None:
+def forwarded_account(headers: Mapping[str, str]) -> str | None:
     """Return the client account in headers sent to an upstream; header names are in lower case."""
     return headers.get("x-egretrail-tenant")
 
