--- a/src/egretrail/floor/_holder.py
+++ b/src/egretrail/floor/_holder.py
@@ -9,15 +9,15 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldRight:
     #: The right.
     right: Right
     #: The upstream that it keeps out now, None while it is free.
     upstream: UpstreamName | None = None
     #: The upstream that was last shown to an asker as kept out.
-    shown: UpstreamName | None = None
+    last_reported: UpstreamName | None = None
     #: Until when some asker may still honour that.
-    quiet_at_s: float = float("-inf")
+    honoured_until_s: float = float("-inf")
     #: Whether a registration of it is under way whose outcome is not known.
     locked: bool = False
 
@@ -33,8 +33,8 @@
     def __init__(self, timing: RightsTiming, started_s: float) -> None:
         self._timing = timing
         self._started_s = started_s
-        self._held: dict[int, _Held] = {}
-        self._promised: dict[int, int] = {}
+        self._held: dict[int, _HeldRight] = {}
+        self._refused_epochs: dict[int, int] = {}
         self._latest_epoch: dict[int, int] = {}
 
     def eject(self, upstream: UpstreamName, allowance: int, now_s: float) -> bool:
@@ -71,14 +71,14 @@
         ejections = []
         for number, held in sorted(self._held.items()):
             if held.upstream is not None:
-                held.shown = held.upstream
-                held.quiet_at_s = now_s + self._timing.wait_s
+                held.last_reported = held.upstream
+                held.honoured_until_s = now_s + self._timing.wait_s
                 ejections.append(Ejection(number, held.upstream))
         return ejections
 
     def free(self, now_s: float) -> Sequence[int]:
         """Return the numbers of the rights that could be passed on now."""
-        return [number for number, held in self._held.items() if self._may_pass(held, now_s)]
+        return [number for number, held in self._held.items() if self._may_transfer(held, now_s)]
 
     def give(self, to: InstanceName, allowance: int, now_s: float) -> Right | None:
         """Give up a free right for good, to one of its heirs; None when there is none to spare."""
@@ -93,7 +93,7 @@
         """Take over a right from a peer that was asked for it; return whether it is held now."""
         if now_s - self._started_s < self._timing.warm_up_s:
             return False
-        if self._refuses(right):
+        if self._must_refuse(right):
             return False
         self._hold(right, float("-inf"))
         return True
@@ -106,7 +106,7 @@
         """Answer a reissuer: return whether the right is held; if not, refuse it from now on."""
         if number in self._held:
             return True
-        self._promised[number] = max(epoch, self._promised.get(number, 0))
+        self._refused_epochs[number] = max(epoch, self._refused_epochs.get(number, 0))
         return False
 
     def issue(self, right: Right, now_s: float, *, reissued: bool) -> None:
@@ -115,7 +115,7 @@
         A reissued right waits: somebody may still honour what its last holder answered. A
         registration that was learnt of only after it was denied to a reissuer is void.
         """
-        if right.epoch <= self._promised.get(right.number, 0):
+        if right.epoch <= self._refused_epochs.get(right.number, 0):
             return
         self._hold(right, now_s + self._timing.wait_s if reissued else float("-inf"))
 
@@ -161,18 +161,20 @@
         """Return whether this process ever held a right of this registration or a later one."""
         return self._latest_epoch.get(number, 0) >= epoch
 
-    def _hold(self, right: Right, quiet_at_s: float) -> None:
-        self._held[right.number] = _Held(right, quiet_at_s=quiet_at_s)
+    def _hold(self, right: Right, honoured_until_s: float) -> None:
+        self._held[right.number] = _HeldRight(right, honoured_until_s=honoured_until_s)
         self._latest_epoch[right.number] = right.epoch
 
-    def _refuses(self, right: Right) -> bool:
-        return right.epoch <= self._promised.get(right.number, 0) or right.number in self._held
+    def _must_refuse(self, right: Right) -> bool:
+        return (
+            right.epoch <= self._refused_epochs.get(right.number, 0) or right.number in self._held
+        )
 
-    def _may_use(self, held: _Held, upstream: UpstreamName, now_s: float) -> bool:
+    def _may_use(self, held: _HeldRight, upstream: UpstreamName, now_s: float) -> bool:
         """Use a right for another upstream only when nobody honours the last one any more."""
         if held.upstream is not None:
             return False
-        return held.shown == upstream or now_s > held.quiet_at_s
+        return held.last_reported == upstream or now_s > held.honoured_until_s
 
-    def _may_pass(self, held: _Held, now_s: float) -> bool:
-        return held.upstream is None and not held.locked and now_s > held.quiet_at_s
+    def _may_transfer(self, held: _HeldRight, now_s: float) -> bool:
+        return held.upstream is None and not held.locked and now_s > held.honoured_until_s
--- a/src/egretrail/floor/_honoured.py
+++ b/src/egretrail/floor/_honoured.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class _Answer:
+class _Reply:
     #: When this instance sent the question.
     asked_s: float
     #: What the holder ejects.
@@ -26,20 +26,20 @@
 
     def __init__(self, timing: RightsTiming) -> None:
         self._timing = timing
-        self._answers: dict[InstanceName, _Answer] = {}
+        self._replies: dict[InstanceName, _Reply] = {}
 
     def note(self, holder: InstanceName, ejections: Sequence[Ejection], asked_s: float) -> None:
         """Take in the answer to a question that was sent at ``asked_s``."""
-        known = self._answers.get(holder)
+        known = self._replies.get(holder)
         if known is not None and known.asked_s >= asked_s:
             return
-        self._answers[holder] = _Answer(asked_s, ejections)
+        self._replies[holder] = _Reply(asked_s, ejections)
 
     def is_ejected(self, upstream: UpstreamName, allowance: int, now_s: float) -> bool:
         """Return whether some holder's ejection of the upstream counts at this moment."""
         return any(
             ejection.upstream == upstream and ejection.number < allowance
-            for answer in self._answers.values()
+            for answer in self._replies.values()
             if self._is_valid(answer, now_s)
             for ejection in answer.ejections
         )
@@ -48,16 +48,16 @@
         """Return the ejections that count now, with their holders."""
         return {
             ejection.upstream: holder
-            for holder, answer in self._answers.items()
+            for holder, answer in self._replies.items()
             if self._is_valid(answer, now_s)
             for ejection in answer.ejections
         }
 
     def forget_expired(self, now_s: float) -> None:
         """Drop answers that ran out."""
-        for name, answer in list(self._answers.items()):
+        for name, answer in list(self._replies.items()):
             if not self._is_valid(answer, now_s):
-                del self._answers[name]
+                del self._replies[name]
 
-    def _is_valid(self, answer: _Answer, now_s: float) -> bool:
+    def _is_valid(self, answer: _Reply, now_s: float) -> bool:
         return now_s - answer.asked_s <= self._timing.validity_s
--- a/src/egretrail/floor/tests/_exploration.py
+++ b/src/egretrail/floor/tests/_exploration.py
@@ -84,14 +84,18 @@
             each.right.epoch,
             tuple(each.right.heirs),
             each.upstream,
-            (each.shown, each.quiet_at_s - now_s) if each.quiet_at_s >= now_s else None,
+            (
+                (each.last_reported, each.honoured_until_s - now_s)
+                if each.honoured_until_s >= now_s
+                else None
+            ),
             each.locked,
         )
         for number, each in sorted(holder._held.items())
     )
     return (
         held,
-        tuple(sorted(holder._promised.items())),
+        tuple(sorted(holder._refused_epochs.items())),
         tuple(sorted(holder._latest_epoch.items())),
     )
 
@@ -100,6 +104,6 @@
     """Return a holder that changes apart from the given one."""
     copied = copy.copy(holder)
     copied._held = {number: copy.copy(held) for number, held in holder._held.items()}
-    copied._promised = dict(holder._promised)
+    copied._refused_epochs = dict(holder._refused_epochs)
     copied._latest_epoch = dict(holder._latest_epoch)
     return copied
--- a/src/egretrail/floor/tests/test_honouring_exploration.py
+++ b/src/egretrail/floor/tests/test_honouring_exploration.py
@@ -148,7 +148,7 @@
 class _PassesAtOnce(RightsHolder):
     """Passes a right on while its last ejection is still honoured."""
 
-    def _may_pass(self, held: object, now_s: float) -> bool:
+    def _may_transfer(self, held: object, now_s: float) -> bool:
         return held.upstream is None  # type: ignore[attr-defined]
 
 
@@ -162,7 +162,7 @@
 class _PassesInUse(RightsHolder):
     """Passes on a right while it keeps an upstream out."""
 
-    def _may_pass(self, held: object, now_s: float) -> bool:
+    def _may_transfer(self, held: object, now_s: float) -> bool:
         return True
 
 
@@ -185,7 +185,7 @@
     def age(asked_s: float) -> float:
         return max(asked_s - world.now_s, oldest_s)
 
-    answers = world.honoured._answers.items()
+    answers = world.honoured._replies.items()
     return (
         tuple((name, holder_key(holder, world.now_s)) for name, holder in world.holders.items()),
         tuple(sorted((name, age(a.asked_s), _plain(a.ejections)) for name, a in answers)),
@@ -199,7 +199,7 @@
     copied = copy.copy(world)
     copied.holders = {name: holder_copy(holder) for name, holder in world.holders.items()}
     copied.honoured = copy.copy(world.honoured)
-    copied.honoured._answers = dict(world.honoured._answers)
+    copied.honoured._replies = dict(world.honoured._replies)
     copied.questions = [copy.copy(question) for question in world.questions]
     return copied
 
--- a/src/egretrail/upstream/__init__.py
+++ b/src/egretrail/upstream/__init__.py
@@ -1,10 +1,13 @@
-"""Judges upstreams from real work, and limits requests that crash upstreams."""
+"""Passive health checking of upstreams by the outcomes of real requests.
+
+Also limits how many upstreams a request that crashes upstreams may be sent to.
+"""
 
 from egretrail.upstream._attempt import Attempt, AttemptOutcome, request_digest
 from egretrail.upstream._evidence import Evidence, upstream_id
 from egretrail.upstream._health import ServiceHealth
 from egretrail.upstream._rights import EjectionRights, NoRights, UnlimitedRights
-from egretrail.upstream._suspects import (
+from egretrail.upstream._suspect_requests import (
     RequestAnswered,
     RequestLoss,
     RequestLosses,
--- a/src/egretrail/upstream/_evidence.py
+++ b/src/egretrail/upstream/_evidence.py
@@ -1,4 +1,4 @@
-"""The digest of one member's observations that the members of a group exchange."""
+"""The message by which the members of a group exchange their observations of upstreams."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -6,15 +6,15 @@
 import xxhash
 
 from egretrail.identity import ServiceName, UpstreamName
-from egretrail.upstream._drift import Drifts
+from egretrail.upstream._cusum import CusumScores
 from egretrail.upstream._window import Counts
 from egretrail.wire import Message, message
 
-#: Window counts travel as integers, in this many parts of one attempt. An eighth of an attempt is
-#: far below what any decision turns on, and most counts then fit in two bytes.
-_PARTS = 8.0
+#: Counts are sent as integers, in units of an eighth of an attempt. That is far below the
+#: resolution that any decision needs, and most counts then fit in two bytes.
+_UNITS_PER_ATTEMPT = 8.0
 
-#: Numbers in a row of the columns that hold several.
+#: Numbers for each upstream in the ``counts`` and ``drifts`` columns.
 _COUNTS = 8
 _DRIFTS = 3
 
@@ -26,53 +26,54 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamObservation:
-    """What one member saw of one upstream: one row of an ``Evidence``."""
+    """One member's observations of one upstream: a row of ``Evidence``."""
 
     #: Digest of the upstream's name.
     upstream: int
-    #: Ejections of the upstream that the member knows of.
+    #: Number of ejections of the upstream that the member knows of.
     generation: int
-    #: How much longer the member's own ejection lasts; 0: not ejected.
+    #: Remaining time of the member's own ejection; 0: not ejected.
     ejected_s: float
-    #: Attempts that the member has under way.
+    #: The member's attempts in flight.
     in_flight: int
     #: The member's short and long windows.
     short: Counts
     long: Counts
-    #: The member's sequential tests.
-    drifts: Drifts
+    #: The member's scores of the sequential tests.
+    drifts: CusumScores
 
 
 @message("evidence")
 @dataclass(frozen=True, slots=True)
 class Evidence(Message):
-    """What one member saw of some upstreams of one service, in columns.
+    """One member's observations of some upstreams of one service, in columns.
 
-    The columns have one entry for each upstream named. An entry replaces the sender's earlier
-    entry for that upstream, so that lost, doubled and reordered messages do no harm. Columns
-    instead of a list of records: the field names then cost their bytes once.
+    Each column has one entry for each of ``upstreams``. An entry replaces the sender's earlier
+    entry for that upstream, so that lost, duplicated and reordered messages do no harm. Columns are
+    used instead of a list of records because the field names are then encoded only once.
     """
 
     #: The service the upstreams belong to.
     service: ServiceName
-    #: Rises with each message of the sender about this service.
+    #: Increases with each message of the sender about this service.
     sequence: int
     #: Digests of the upstreams' names.
     upstreams: Sequence[int]
-    #: Ejections of the upstream that the sender knows of; orders evidence before and after one.
+    #: Number of ejections that the sender knows of; tells evidence from before an ejection from
+    #: evidence after it.
     generations: Sequence[int]
-    #: Tenths of a second that the sender's own ejection still lasts; 0: not ejected.
+    #: Remaining time of the sender's own ejection, in tenths of a second; 0: not ejected.
     ejected_tenths: Sequence[int]
-    #: Attempts that the sender has under way.
+    #: The sender's attempts in flight.
     in_flight: Sequence[int]
-    #: Eight numbers for each upstream, in parts of an attempt: attempts, failures, timed answers
-    #: and slowness of the short window, then of the long one.
+    #: Eight numbers for each upstream, in eighths of an attempt: attempts, failures, timed
+    #: responses and slowness of the short window, then of the long one.
     counts: Sequence[int]
-    #: Three numbers for each upstream, in the same parts: its sequential tests.
+    #: Three numbers for each upstream, in eighths: the CUSUM scores ``frequent``, ``rare``, ``slow``.
     drifts: Sequence[int]
 
     def __post_init__(self) -> None:
-        """Refuse columns of different lengths."""
+        """Raise ``ValueError`` when the columns have different lengths."""
         columns = (self.generations, self.ejected_tenths, self.in_flight)
         if any(len(column) != len(self.upstreams) for column in columns):
             raise ValueError("columns of different lengths")
@@ -82,10 +83,10 @@
             raise ValueError("drifts do not fit the upstreams")
 
     def rows(self) -> Iterable[UpstreamObservation]:
-        """Return the rows that the columns hold."""
+        """Yield the observations of each upstream."""
         for index, upstream in enumerate(self.upstreams):
-            numbers = [part / _PARTS for part in _row(self.counts, index, _COUNTS)]
-            drifts = [part / _PARTS for part in _row(self.drifts, index, _DRIFTS)]
+            numbers = [part / _UNITS_PER_ATTEMPT for part in _row(self.counts, index, _COUNTS)]
+            drifts = [part / _UNITS_PER_ATTEMPT for part in _row(self.drifts, index, _DRIFTS)]
             yield UpstreamObservation(
                 upstream,
                 self.generations[index],
@@ -93,14 +94,14 @@
                 self.in_flight[index],
                 Counts(*numbers[:4]),
                 Counts(*numbers[4:]),
-                Drifts(*drifts),
+                CusumScores(*drifts),
             )
 
 
 def evidence_of(
     service: ServiceName, sequence: int, rows: Sequence[UpstreamObservation]
 ) -> Evidence:
-    """Return the message that carries these rows."""
+    """Return the message that encodes these rows."""
     return Evidence(
         service,
         sequence,
@@ -108,8 +109,8 @@
         [row.generation for row in rows],
         [round(row.ejected_s * 10.0) for row in rows],
         [row.in_flight for row in rows],
-        [part for row in rows for part in (*_count_parts(row.short), *_count_parts(row.long))],
-        [part for row in rows for part in _drift_parts(row.drifts)],
+        [part for row in rows for part in (*_count_units(row.short), *_count_units(row.long))],
+        [part for row in rows for part in _cusum_units(row.drifts)],
     )
 
 
@@ -117,10 +118,12 @@
     return column[width * index : width * (index + 1)]
 
 
-def _count_parts(counts: Counts) -> Sequence[int]:
+def _count_units(counts: Counts) -> Sequence[int]:
     numbers = (counts.attempts, counts.failures, counts.timed, counts.slowness)
-    return [round(number * _PARTS) for number in numbers]
+    return [round(number * _UNITS_PER_ATTEMPT) for number in numbers]
 
 
-def _drift_parts(drifts: Drifts) -> Sequence[int]:
-    return [round(number * _PARTS) for number in (drifts.frequent, drifts.rare, drifts.slow)]
+def _cusum_units(drifts: CusumScores) -> Sequence[int]:
+    return [
+        round(number * _UNITS_PER_ATTEMPT) for number in (drifts.frequent, drifts.rare, drifts.slow)
+    ]
--- a/src/egretrail/upstream/_health.py
+++ b/src/egretrail/upstream/_health.py
@@ -1,4 +1,4 @@
-"""The health of one service's upstreams as one instance judges it."""
+"""One instance's view of the health of one service's upstreams."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -7,32 +7,32 @@
 from egretrail.settings import Detection
 from egretrail.upstream._attempt import Attempt
 from egretrail.upstream._evidence import Evidence, UpstreamObservation, evidence_of
-from egretrail.upstream._jury import Finding, Jury
+from egretrail.upstream._in_flight import InFlightAttempts
 from egretrail.upstream._lifecycle import Lifecycle
-from egretrail.upstream._observed import Observed, PeerObservation
+from egretrail.upstream._observations import GroupObservations, PeerObservation
+from egretrail.upstream._outlier_detection import Conclusion, OutlierDetector
 from egretrail.upstream._recorder import Recorder
 from egretrail.upstream._rights import EjectionRights
 from egretrail.upstream._thresholds import thresholds
 from egretrail.upstream._tracked import TrackedUpstream
-from egretrail.upstream._under_way import AttemptsUnderWay
 from egretrail.upstream._verdict import Cause, UpstreamState, Verdict
 
-#: An upstream that declines work keeps at least this share, to notice that it accepts again.
-_SHED_FLOOR = 0.2
+#: The least weight factor of an upstream that sheds load, so that its recovery is noticed.
+_SHED_MIN_WEIGHT = 0.2
 
-#: Declining this much more often than the service's upstreams on average shifts work away.
-_SHED_NOTABLE = 0.2
+#: The excess of an upstream's shed share over the service's average that reduces its weight.
+_SHED_EXCESS = 0.2
 
-#: From this part of the ejecting score on, an upstream is judged as time passes, not only when
-#: something happens.
-_DOUBTFUL = 0.5
+#: From this part of the ejection score on, an upstream is also evaluated on each tick, not only
+#: when an attempt ends or evidence arrives.
+_SUSPICIOUS = 0.5
 
 
 class ServiceHealth:
-    """Judges the upstreams of one service from real work, its own and its group's.
+    """Decides the health of one service's upstreams by outcomes of its own and its group's requests.
 
-    Nothing that an upstream says of itself enters: health and load endpoints that lag or mislead
-    can neither clear nor convict it.
+    Self-reports of an upstream are not used: a health or load endpoint that lags or gives wrong
+    values can neither cause nor prevent an ejection.
     """
 
     def __init__(
@@ -44,33 +44,33 @@
         rng: random.Random,
     ) -> None:
         self.service = service
-        self._limits = thresholds(detection)
+        self._thresholds = thresholds(detection)
         self._ramp_s = ramp_s
         self._rights = rights
         self._rng = rng
         self._upstreams: dict[UpstreamName, TrackedUpstream] = {}
         self._by_id: dict[int, TrackedUpstream] = {}
         self._started = False
-        self._under_way = AttemptsUnderWay()
-        self._recorder = Recorder(self._limits)
-        self._jury = Jury(self._limits, self._recorder)
+        self._in_flight_attempts = InFlightAttempts()
+        self._recorder = Recorder(self._thresholds)
+        self._detector = OutlierDetector(self._thresholds, self._recorder)
         self._sequence = 0
         self._peer_sequences: dict[InstanceName, int] = {}
 
     def retune(self, detection: Detection, ramp_s: float) -> None:
-        """Go on with changed settings; what was observed is kept."""
-        self._limits = thresholds(detection)
+        """Apply changed settings; observations are kept."""
+        self._thresholds = thresholds(detection)
         self._ramp_s = ramp_s
-        self._recorder.use_limits(self._limits)
-        self._jury.use_limits(self._limits)
+        self._recorder.set_thresholds(self._thresholds)
+        self._detector.set_thresholds(self._thresholds)
         for upstream in self._upstreams.values():
-            upstream.lifecycle.use_limits(self._limits, ramp_s)
+            upstream.lifecycle.set_thresholds(self._thresholds, ramp_s)
 
     def set_upstreams(self, names: Sequence[UpstreamName], now_s: float) -> None:
-        """Take over the service's upstreams; ones that join later than the first call ramp."""
+        """Set the service's upstreams; those added after the first non-empty call ramp up."""
         for gone in set(self._upstreams) - set(names):
             del self._upstreams[gone]
-            self._recorder.forget_upstream(gone)
+            self._recorder.remove_upstream(gone)
             self._rights.release(self.service, gone, now_s)
         for name in names:
             if name not in self._upstreams:
@@ -79,42 +79,45 @@
         self._started = self._started or bool(names)
 
     def begin(self, upstream: UpstreamName, request_kind: str, now_s: float) -> int:
-        """Note an attempt that begins; return its ticket for ``end``."""
+        """Record the start of an attempt; return the ticket to pass when the attempt ends."""
         known = self._upstreams.get(upstream)
         if known is not None:
             known.observed.in_flight += 1
-        return self._under_way.begin(upstream, request_kind, now_s)
+        return self._in_flight_attempts.start(upstream, request_kind, now_s)
 
     def end(self, ticket: int) -> None:
-        """Note that the attempt with this ticket has ended; call ``record`` with its outcome."""
-        name = self._under_way.end(ticket)
+        """Record that the attempt with this ticket has ended; its outcome is recorded separately."""
+        name = self._in_flight_attempts.finish(ticket)
         known = self._upstreams.get(name) if name is not None else None
         if known is not None:
             known.observed.in_flight = max(0, known.observed.in_flight - 1)
 
     def record(self, attempt: Attempt, now_s: float, suspect: bool = False) -> None:
-        """Take a finished attempt as evidence; ``suspect``: upstreams were lost with it before."""
+        """Record the outcome of a finished attempt.
+
+        ``suspect`` tells that connections to upstreams were lost with the same request before.
+        """
         upstream = self._upstreams.get(attempt.upstream)
         if upstream is None or upstream.lifecycle.predates_return(attempt.started_s):
             return
         self._recorder.record(upstream, attempt, now_s, suspect)
-        if self._needs_no_judgement(upstream):
+        if self._changes_nothing(upstream):
             return
         self._evaluate(upstream, now_s)
-        if upstream.observed.worth_telling(now_s):
+        if upstream.observed.is_urgent(now_s):
             upstream.urgent = True
 
     def excuse(self, upstream: UpstreamName, observed_here: bool, now_s: float) -> None:
-        """Take back a loss: the request turned out to crash other upstreams as well."""
+        """Retract a lost attempt: the request turned out to crash other upstreams as well."""
         known = self._upstreams.get(upstream)
         if known is not None:
             if observed_here:
-                known.observed.excuse_loss()
-            known.lifecycle.excuse(now_s)
-            known.lifecycle.crashed(now_s)
+                known.observed.retract_loss()
+            known.lifecycle.retract_ejection(now_s)
+            known.lifecycle.start_crash_grace(now_s)
 
     def merge(self, sender: InstanceName, evidence: Evidence, now_s: float) -> None:
-        """Take another member's observations."""
+        """Apply another member's observations; those older than its last ones are ignored."""
         if evidence.sequence <= self._peer_sequences.get(sender, 0):
             return
         self._peer_sequences[sender] = evidence.sequence
@@ -124,7 +127,7 @@
                 self._merge_row(upstream, sender, row, now_s)
 
     def forget_member(self, sender: InstanceName) -> None:
-        """Drop the observations of a member that has left the group or started anew."""
+        """Remove the observations of a member that left the group or restarted."""
         self._peer_sequences.pop(sender, None)
         for upstream in self._upstreams.values():
             upstream.observed.peers.pop(sender, None)
@@ -134,54 +137,54 @@
         return self._evidence(list(self._upstreams.values()), now_s)
 
     def urgent_evidence(self, now_s: float) -> Evidence | None:
-        """Return observations that the group should have at once, None when there are none."""
+        """Return observations to be sent to the group at once, None when there are none."""
         urgent = [upstream for upstream in self._upstreams.values() if upstream.urgent]
         return self._evidence(urgent, now_s) if urgent else None
 
     def tick(self, now_s: float) -> None:
-        """Let time pass: overdue attempts, ends of ejections, ramps."""
-        self._under_way.find_overdue(self._upstreams, self._recorder, now_s)
+        """Evaluate what depends on time: overdue attempts, ends of ejections, ramps."""
+        self._in_flight_attempts.update_overdue(self._upstreams, self._recorder, now_s)
         for upstream in self._upstreams.values():
             lifecycle = upstream.lifecycle
-            doubtful = lifecycle.suspicion >= _DOUBTFUL or lifecycle.out
-            if doubtful or upstream.observed.overdue:
+            is_suspicious = lifecycle.suspicion >= _SUSPICIOUS or lifecycle.is_out
+            if is_suspicious or upstream.observed.overdue:
                 self._evaluate(upstream, now_s)
             else:
                 self._advance(upstream, now_s)
 
     def verdict(self, upstream: UpstreamName, now_s: float) -> Verdict:
-        """Return the decision on one upstream."""
+        """Return the verdict on one upstream; an unknown upstream is healthy."""
         known = self._upstreams.get(upstream)
         if known is None:
             return Verdict(UpstreamState.HEALTHY, 1.0, Cause.NONE, now_s)
-        covered = known.lifecycle.out and self._rights.may_eject(self.service, upstream, now_s)
+        covered = known.lifecycle.is_out and self._rights.may_eject(self.service, upstream, now_s)
         return self._shifted_by_shedding(known, known.lifecycle.verdict(covered, now_s))
 
     def verdicts(self, now_s: float) -> Mapping[UpstreamName, Verdict]:
-        """Return the decisions on all upstreams."""
+        """Return the verdicts on all upstreams."""
         return {name: self.verdict(name, now_s) for name in self._upstreams}
 
     def peer_in_flight(self, upstream: UpstreamName) -> int:
-        """Return the attempts that the group's other members last said they have under way."""
+        """Return the number of attempts in flight that the other members last reported."""
         known = self._upstreams.get(upstream)
         if known is None:
             return 0
         return sum(peer.in_flight for peer in known.observed.peers.values())
 
     def own_in_flight(self, upstream: UpstreamName) -> int:
-        """Return the attempts that this instance has under way."""
+        """Return the number of this instance's attempts in flight."""
         known = self._upstreams.get(upstream)
         return known.observed.in_flight if known is not None else 0
 
-    def _needs_no_judgement(self, upstream: TrackedUpstream) -> bool:
-        """Return whether an attempt changes nothing: a healthy upstream did well again."""
+    def _changes_nothing(self, upstream: TrackedUpstream) -> bool:
+        """Return whether no evaluation is needed: a healthy upstream succeeded again."""
         lifecycle = upstream.lifecycle
-        healthy = lifecycle.state is UpstreamState.HEALTHY and lifecycle.suspicion < _DOUBTFUL
-        return healthy and upstream.observed.is_quiet() and not upstream.observed.overdue
+        healthy = lifecycle.state is UpstreamState.HEALTHY and lifecycle.suspicion < _SUSPICIOUS
+        return healthy and upstream.observed.is_unsuspicious() and not upstream.observed.overdue
 
     def _track(self, name: UpstreamName, now_s: float) -> TrackedUpstream:
-        lifecycle = Lifecycle(self._limits, self._ramp_s, self._rng, now_s, new=self._started)
-        return TrackedUpstream(name, Observed(now_s), lifecycle)
+        lifecycle = Lifecycle(self._thresholds, self._ramp_s, self._rng, now_s, new=self._started)
+        return TrackedUpstream(name, GroupObservations(now_s), lifecycle)
 
     def _merge_row(
         self,
@@ -195,14 +198,14 @@
         )
         lifecycle = upstream.lifecycle
         if row.short.failures > 0 and row.generation >= lifecycle.generation:
-            upstream.observed.note_failure(now_s)
+            upstream.observed.mark_failing(now_s)
         if row.generation > lifecycle.generation:
             upstream.observed.clear(now_s)
             if row.ejected_s > 0:
-                lifecycle.adopt(row.generation, row.ejected_s, now_s)
+                lifecycle.adopt_ejection(row.generation, row.ejected_s, now_s)
             else:
                 lifecycle.generation = row.generation
-        elif upstream.observed.peers[sender].worth_telling:
+        elif upstream.observed.peers[sender].is_urgent:
             self._evaluate(upstream, now_s)
 
     def _evidence(self, upstreams: Sequence[TrackedUpstream], now_s: float) -> Evidence:
@@ -221,7 +224,7 @@
             upstream.observed.in_flight,
             upstream.observed.own_short(now_s),
             upstream.observed.own_long(now_s),
-            upstream.observed.own_drifts(now_s),
+            upstream.observed.own_cusum(now_s),
         )
 
     def _advance(self, upstream: TrackedUpstream, now_s: float) -> None:
@@ -229,27 +232,27 @@
             upstream.observed.clear(now_s)
 
     def _evaluate(self, upstream: TrackedUpstream, now_s: float) -> None:
-        """Draw the consequences of new evidence on one upstream."""
+        """Update one upstream's state after new evidence."""
         self._advance(upstream, now_s)
         state = upstream.lifecycle.state
         if state is UpstreamState.TRIAL:
-            self._judge_trial(upstream, now_s)
+            self._assess_trial(upstream, now_s)
         elif state is not UpstreamState.EJECTED:
-            self._judge(upstream, now_s)
+            self._assess(upstream, now_s)
 
-    def _judge(self, upstream: TrackedUpstream, now_s: float) -> None:
+    def _assess(self, upstream: TrackedUpstream, now_s: float) -> None:
         lifecycle = upstream.lifecycle
-        judgement = self._jury.judge(upstream, self._upstreams.values(), now_s)
-        lifecycle.suspicion = judgement.suspicion
-        if judgement.finding is Finding.UPSTREAM:
-            self._eject(upstream, judgement.cause, now_s)
-        elif judgement.finding is Finding.PATH and not lifecycle.on_path_shift(now_s):
+        assessment = self._detector.assess(upstream, self._upstreams.values(), now_s)
+        lifecycle.suspicion = assessment.suspicion
+        if assessment.conclusion is Conclusion.UPSTREAM:
+            self._eject(upstream, assessment.cause, now_s)
+        elif assessment.conclusion is Conclusion.PATH and not lifecycle.is_path_shifted(now_s):
             lifecycle.shift_from_path(now_s)
 
-    def _judge_trial(self, upstream: TrackedUpstream, now_s: float) -> None:
-        if self._jury.trial_failed(upstream, now_s):
+    def _assess_trial(self, upstream: TrackedUpstream, now_s: float) -> None:
+        if self._detector.has_trial_failed(upstream, now_s):
             self._eject(upstream, upstream.lifecycle.cause, now_s)
-        elif self._jury.trial_passed(upstream, now_s):
+        elif self._detector.has_trial_passed(upstream, now_s):
             upstream.lifecycle.end_trial(now_s)
             self._rights.release(self.service, upstream.name, now_s)
 
@@ -260,9 +263,9 @@
         self._rights.may_eject(self.service, upstream.name, now_s)
 
     def _shifted_by_shedding(self, upstream: TrackedUpstream, verdict: Verdict) -> Verdict:
-        """Shift work from an upstream that declines what others accept; it stays in service."""
+        """Reduce the weight of an upstream that sheds load that others accept; never eject it."""
         excess = upstream.observed.shed_share - self._recorder.shed_share
-        if excess < _SHED_NOTABLE or not verdict.in_service or verdict.idempotent_only:
+        if excess < _SHED_EXCESS or not verdict.in_service or verdict.idempotent_only:
             return verdict
-        weight = verdict.weight * max(_SHED_FLOOR, 1.0 - excess)
+        weight = verdict.weight * max(_SHED_MIN_WEIGHT, 1.0 - excess)
         return Verdict(UpstreamState.DEGRADED, weight, Cause.SHEDDING, verdict.since_s)
--- a/src/egretrail/upstream/_under_way.py
+++ b/src/egretrail/upstream/_in_flight.py
@@ -1,7 +1,7 @@
-"""Attempts under way, and those of them that take longer than answers do.
+"""Attempts in flight, and those of them that are overdue.
 
-An upstream that hangs ends no attempt before its deadline; without looking at attempts that are
-still under way, nothing would speak against it until then.
+At an upstream that hangs no attempt ends before its deadline. Unless attempts in flight are
+examined, there would be no evidence against the upstream until then.
 """
 
 from collections.abc import Mapping
@@ -11,48 +11,48 @@
 from egretrail.upstream._recorder import Recorder
 from egretrail.upstream._tracked import TrackedUpstream
 
-#: An attempt is overdue from this log latency ratio on (about five times the median); younger ones
-#: say nothing yet. It counts as no slower than that, whatever its age.
+#: An attempt is overdue from this log latency ratio on (about five times the median). An overdue
+#: attempt counts with this ratio, whatever its age.
 _OVERDUE_LOG = 1.6
 
 
 @dataclass(frozen=True, slots=True)
-class _UnderWay:
+class _InFlight:
     """An attempt that has not ended."""
 
-    #: The upstream that works on it.
+    #: The upstream that the request was sent to.
     upstream: UpstreamName
-    #: The kind its latency is compared within.
+    #: The request kind whose latencies it is compared with.
     request_kind: str
-    #: When it was sent.
+    #: Time of sending.
     started_s: float
 
 
-class AttemptsUnderWay:
-    """This instance's attempts under way at one service's upstreams."""
+class InFlightAttempts:
+    """This instance's attempts in flight at one service's upstreams."""
 
     def __init__(self) -> None:
-        self._attempts: dict[int, _UnderWay] = {}
+        self._attempts: dict[int, _InFlight] = {}
         self._last_ticket = 0
 
-    def begin(self, upstream: UpstreamName, request_kind: str, now_s: float) -> int:
-        """Note an attempt that begins; return its ticket."""
+    def start(self, upstream: UpstreamName, request_kind: str, now_s: float) -> int:
+        """Record the start of an attempt; return its ticket."""
         self._last_ticket += 1
-        self._attempts[self._last_ticket] = _UnderWay(upstream, request_kind, now_s)
+        self._attempts[self._last_ticket] = _InFlight(upstream, request_kind, now_s)
         return self._last_ticket
 
-    def end(self, ticket: int) -> UpstreamName | None:
-        """Note that an attempt has ended; return its upstream, None when it had ended before."""
+    def finish(self, ticket: int) -> UpstreamName | None:
+        """Record the end of an attempt; return its upstream, None for an unknown ticket."""
         attempt = self._attempts.pop(ticket, None)
         return attempt.upstream if attempt is not None else None
 
-    def find_overdue(
+    def update_overdue(
         self,
         upstreams: Mapping[UpstreamName, TrackedUpstream],
         recorder: Recorder,
         now_s: float,
     ) -> None:
-        """Set each upstream's number of overdue attempts."""
+        """Update each upstream's number of overdue attempts."""
         for upstream in upstreams.values():
             upstream.observed.overdue = 0
         for attempt in self._attempts.values():
--- a/src/egretrail/upstream/_latency.py
+++ b/src/egretrail/upstream/_latency.py
@@ -1,31 +1,32 @@
-"""The service's own latency distribution, for each kind of request.
+"""A service's latency distribution for each kind of request.
 
-A ring of recent logarithms and its quartiles, instead of a histogram over all time: it follows a
-service whose latency changes, costs one sort of 128 numbers for 32 answers, and holds 1 KB a kind.
+A ring buffer of recent log latencies with its quartiles is used instead of a histogram over all
+time: it adapts when the service's latency changes. It costs one sort of 128 numbers for every 32
+responses, and 1 KB of memory for each kind.
 """
 
 import math
 from collections import OrderedDict
 
-#: Answers remembered for a kind.
-_REMEMBERED = 128
+#: Responses kept for each kind.
+_CAPACITY = 128
 
-#: Quartiles are computed anew after so many answers.
+#: Quartiles are recomputed after this many responses.
 _REFRESH_EVERY = 32
 
-#: Fewer answers make no distribution.
-_FEWEST = 16
+#: The least number of responses from which quartiles are computed.
+_MIN_ANSWERS = 16
 
-#: Kinds told apart; the least recently used is forgotten. Routes name a handful of kinds.
-_KINDS = 32
+#: Limit on the kinds kept; the least recently used one is evicted. Routes define only a few kinds.
+_MAX_KINDS = 32
 
-#: Added to every latency: below it, differences are the network's and the scheduler's.
+#: Added to every latency: smaller differences are noise of the network and the scheduler.
 _NOISE_S = 0.002
 
-#: Logarithms of latency ratios are clipped here (about 3 times faster, 9 times slower), which
-#: bounds what one answer from the heavy tail can do.
-SLOWNESS_LEAST = -1.1
-SLOWNESS_MOST = 2.2
+#: Log latency ratios are clipped to this range (about 3 times faster, 9 times slower), which bounds
+#: the influence of one response from the heavy tail.
+MIN_SLOWNESS = -1.1
+MAX_SLOWNESS = 2.2
 
 #: Interquartile range of a normal distribution, in standard deviations.
 _IQR_PER_DEVIATION = 1.349
@@ -44,13 +45,13 @@
         self.spread = 1.0
 
     def add(self, log_latency: float) -> None:
-        if len(self._ring) < _REMEMBERED:
+        if len(self._ring) < _CAPACITY:
             self._ring.append(log_latency)
         else:
             self._ring[self._next] = log_latency
-            self._next = (self._next + 1) % _REMEMBERED
+            self._next = (self._next + 1) % _CAPACITY
         self._since_refresh += 1
-        due = _REFRESH_EVERY if self.median is not None else _FEWEST
+        due = _REFRESH_EVERY if self.median is not None else _MIN_ANSWERS
         if self._since_refresh >= due:
             self._refresh()
 
@@ -63,27 +64,27 @@
 
 
 class LatencyReference:
-    """Turns a latency into its logarithm relative to the median of its kind."""
+    """Converts a latency into its log ratio to the median of its kind."""
 
     def __init__(self) -> None:
         self._kinds: OrderedDict[str, _Kind] = OrderedDict()
-        #: Typical spread of log latencies over the kinds seen lately.
+        #: Typical standard deviation of log latencies, averaged over recent kinds.
         self.spread = 1.0
 
     def slowness(self, kind: str, latency_s: float) -> float | None:
-        """Return the clipped log ratio to the kind's median; None while little is known."""
+        """Return the clipped log ratio to the kind's median; None while the median is unknown."""
         known = self._kinds.get(kind)
         if known is None or known.median is None:
             return None
         ratio = math.log(latency_s + _NOISE_S) - known.median
-        return min(SLOWNESS_MOST, max(SLOWNESS_LEAST, ratio))
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
 
     def add(self, kind: str, latency_s: float) -> None:
-        """Let a good answer shape the kind's distribution."""
+        """Add a successful response's latency to its kind's distribution."""
         known = self._kinds.get(kind)
         if known is None:
             known = self._kinds[kind] = _Kind()
-            if len(self._kinds) > _KINDS:
+            if len(self._kinds) > _MAX_KINDS:
                 self._kinds.popitem(last=False)
         self._kinds.move_to_end(kind)
         known.add(math.log(latency_s + _NOISE_S))
--- a/src/egretrail/upstream/_neighbours.py
+++ b/src/egretrail/upstream/_latest_outcomes.py
@@ -1,7 +1,7 @@
-"""What the service's other upstreams did in this member's last few attempts.
+"""Outcomes of this member's latest attempts, to compare an upstream with the service's others.
 
 The windows compare over seconds. The sequential tests need to know at once when all upstreams begin
-to fail or slow down together, or the first ones would be convicted for what hits all.
+to fail or slow down together; otherwise the first ones would be ejected for a common fault.
 """
 
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 from egretrail.identity import UpstreamName
 from egretrail.upstream._score import OTHERS_PER_OUTLIER, TOLERATED_FAILURE_SHARE
 
-#: What remains of the past after one more attempt: about the last fourteen count.
+#: Decay of the counts for each further attempt: about the last fourteen attempts count.
 _KEPT = 0.93
 
-#: An upstream must fail this many times as often as the others to be remarkable.
+#: An upstream's failures are unexpected from this multiple of the others' failure share on.
 _FAILURE_MARGIN = 1.5
 
-#: An upstream must exceed this many times the others' common slowness.
+#: An upstream's slowness is unexpected from this multiple of the others' mean slowness on.
 _SLOWNESS_MARGIN = 2.0
 
 
 @dataclass(slots=True)
 class _Recent:
-    """One upstream's part in the last attempts."""
+    """Decaying counts of the latest attempts at one upstream, or at all of them."""
 
     step: int = 0
     attempts: float = 0.0
@@ -40,15 +40,15 @@
         self.slowness *= kept
 
 
-class Neighbours:
-    """The last attempts of one member at all upstreams of a service."""
+class LatestOutcomes:
+    """One member's latest attempts at all upstreams of a service."""
 
     def __init__(self) -> None:
         self._all = _Recent()
         self._each: dict[UpstreamName, _Recent] = {}
 
     def add(self, upstream: UpstreamName, failed: float, slowness: float | None) -> None:
-        """Add an attempt."""
+        """Add an attempt; ``failed`` is the weight of its failure, 0 for a success."""
         step = self._all.step + 1
         for recent in (self._all, self._each.setdefault(upstream, _Recent(step))):
             recent.fade(step)
@@ -58,8 +58,8 @@
                 recent.timed += 1.0
                 recent.slowness += slowness
 
-    def failure_share(self, upstream: UpstreamName) -> float:
-        """Return the share of failures that would be unremarkable for this upstream now."""
+    def expected_failure_share(self, upstream: UpstreamName) -> float:
+        """Return the failure share of this upstream that would be no outlier now."""
         others = [self._own(name) for name in self._each if name != upstream]
         others.sort(key=lambda recent: recent.failures)
         kept = others[: len(others) - len(others) // OTHERS_PER_OUTLIER]
@@ -68,19 +68,19 @@
         share = _FAILURE_MARGIN * failures / attempts
         return min(1.0, max(TOLERATED_FAILURE_SHARE, share))
 
-    def common_slowness(self, upstream: UpstreamName) -> float:
-        """Return the log latency ratio that would be unremarkable for this upstream now.
+    def expected_slowness(self, upstream: UpstreamName) -> float:
+        """Return the log latency ratio of this upstream that would be no outlier now.
 
-        More than the others' mean while they are slow: under an overload the queues before the
-        upstreams differ, and the longest of them is no fault of its upstream.
+        The value is above the others' mean while they are slow: under an overload the queues at the
+        upstreams differ in length, and the longest queue is not its upstream's fault.
         """
         own = self._own(upstream)
         timed = self._all.timed - own.timed + 1.0
         mean = (self._all.slowness - own.slowness) / timed
         return mean if mean <= 0.0 else _SLOWNESS_MARGIN * mean
 
-    def forget(self, upstream: UpstreamName) -> None:
-        """Drop an upstream that has left."""
+    def remove(self, upstream: UpstreamName) -> None:
+        """Remove an upstream that left the service."""
         self._each.pop(upstream, None)
 
     def _own(self, upstream: UpstreamName) -> _Recent:
--- a/src/egretrail/upstream/_since.py
+++ b/src/egretrail/upstream/_recent_attempts.py
@@ -1,8 +1,8 @@
-"""What the other upstreams did since failures of one upstream began.
+"""Recent attempts, to compare an upstream with the others since the onset of its failures.
 
-Windows look back past the begin of a fault. When a fault hits all upstreams, the first few failures
-fall on one of them by chance while the others' windows still hold good answers; only attempts that
-began later tell whether the fault is that upstream's alone.
+Windows also contain attempts from before the onset. When a fault affects all upstreams, the first
+few failures fall on one of them by chance while the others' windows still hold successes. Only
+attempts that began after the onset show whether the fault is that upstream's alone.
 """
 
 import math
@@ -12,14 +12,15 @@
 from egretrail.identity import UpstreamName
 from egretrail.upstream._score import OTHERS_PER_OUTLIER
 
-#: Attempts remembered. Convictions need a handful at the others; the rest is for upstreams that
-#: fail partially, whose evidence grows over tens of attempts.
-_REMEMBERED = 64
+#: Number of attempts kept. An ejection needs a few at the other upstreams; the rest is for
+#: upstreams that fail partially, whose evidence grows over tens of attempts.
+_CAPACITY = 64
 
-#: The slow answer that is assumed beside the answers seen (about five times the median).
+#: Prior: one slow response (about five times the median) in addition to those observed.
 _PRIOR_SLOWNESS = 1.6
 
-#: Answers of the others that show whether they are slow now: one from each of several upstreams.
+#: Number of the others' latest responses that show whether they are slow now: about one from each
+#: of several upstreams.
 _LAST_ANSWERS = 6
 
 
@@ -35,23 +36,24 @@
 
 
 class RecentAttempts:
-    """This member's last attempts at all upstreams of a service."""
+    """This member's most recent attempts at all upstreams of a service."""
 
     def __init__(self) -> None:
-        self._seen: deque[_Seen] = deque(maxlen=_REMEMBERED)
+        self._seen: deque[_Seen] = deque(maxlen=_CAPACITY)
 
     def add_failure(self, upstream: UpstreamName, started_s: float) -> None:
         """Add an attempt that failed."""
         self._seen.append(_Seen(upstream, started_s, True, None))
 
     def add_answer(self, upstream: UpstreamName, started_s: float, slowness: float | None) -> None:
-        """Add an attempt that was answered."""
+        """Add a successful attempt."""
         self._seen.append(_Seen(upstream, started_s, False, slowness))
 
     def others_slowness(self, upstream: UpstreamName) -> float:
-        """Return the log latency ratio that the others' very last answers may have had.
+        """Return the mean log latency ratio of the others' latest responses.
 
-        With a prior of one slow answer: without answers elsewhere nothing stands out.
+        The mean includes a prior of one slow response, so that without responses from the others
+        this upstream is no outlier.
         """
         total = _PRIOR_SLOWNESS
         answers = 0
@@ -64,11 +66,11 @@
         return total / (answers + 1.0)
 
     def others_failure_share(self, upstream: UpstreamName, since_s: float) -> float:
-        """Return the share of failures that the others may have had since a time.
+        """Return the others' failure share in attempts that began since a time.
 
-        With a prior of one failure and one answer: no attempts at all leave it at a half, and it
-        takes answers to bring it down. The worst of several others is left out, so that a second
-        bad upstream does not protect the first.
+        The share includes a prior of one failure and one success: it is a half without attempts, and
+        only successes lower it. The worst of several others are excluded, so that a second bad
+        upstream does not protect the first.
         """
         failures: dict[UpstreamName, int] = {}
         attempts: dict[UpstreamName, int] = {}
@@ -84,5 +86,5 @@
 
 
 def onset_score(failures: float, others_failure_share: float) -> float:
-    """Return the log likelihood ratio of this many failures in a row against the others' share."""
+    """Return the score of consecutive failures: their negative log likelihood at the others' share."""
     return -failures * math.log(others_failure_share)
--- a/src/egretrail/upstream/_score.py
+++ b/src/egretrail/upstream/_score.py
@@ -1,63 +1,63 @@
-"""How strongly counts speak against an upstream, in comparison with the service's others."""
+"""Scores of an upstream's window counts against those of the service's other upstreams."""
 
 import math
 from dataclasses import dataclass
 
 from egretrail.identity import UpstreamName
-from egretrail.upstream._latency import SLOWNESS_LEAST
+from egretrail.upstream._latency import MIN_SLOWNESS
 from egretrail.upstream._window import NOTHING, Counts
 
-#: A healthy upstream may fail one request in a hundred without being compared at all: below it,
-#: two unlucky failures would stand out against perfect others.
+#: A healthy upstream may fail one request in a hundred without being compared. With a lower limit,
+#: two chance failures would be an outlier against others without failures.
 TOLERATED_FAILURE_SHARE = 0.01
 
-#: An upstream must fail clearly more often than the others: this many times their share. Under an
-#: overload that hits all, shares of upstreams differ by chance and by placement.
+#: An upstream must fail at this multiple of the others' share. Under a common overload the failure
+#: shares of upstreams differ by chance and by placement.
 _FAILURE_MARGIN = 1.5
 
-#: One of so many others is left out of the comparison, the worst first, so that a second or third
-#: bad upstream does not hide the first.
+#: One of this many others, the worst first, is excluded from the comparison, so that a second or
+#: third bad upstream does not hide the first.
 OTHERS_PER_OUTLIER = 4
 
-#: Latencies of consecutive answers are correlated (they wait in the same queue), so that they
-#: carry less information than independent ones.
+#: Variance factor: latencies of consecutive responses are correlated (they wait in the same queue),
+#: so that they carry less information than independent ones.
 _CORRELATION = 1.5
 
-#: Fewer compared answers say nothing about slowness.
-_FEWEST_TIMED = 4.0
+#: The least number of timed responses from which slowness is scored.
+_MIN_TIMED = 4.0
 
-#: A single failure never convicts.
-_FEWEST_FAILURES = 1.2
+#: The least number of failures that is an outlier; a single failure never ejects.
+_MIN_FAILURES = 1.2
 
-#: Fewer attempts at the others are no comparison.
-_FEWEST_OTHERS = 2.0
+#: The least number of attempts at the other upstreams that allows a comparison.
+_MIN_OTHERS = 2.0
 
-#: The others' mean log latency is seldom further below their median than this.
+#: The others' mean log latency ratio is rarely lower than the negative of this.
 _OTHERS_FASTER_LOG = 0.3
 
-#: The least spread of log latencies that is believed.
-LEAST_SPREAD = 0.35
+#: Lower limit on the standard deviation of log latencies.
+MIN_SPREAD = 0.35
 
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """What the service's other upstreams do in the same window."""
+    """The behaviour of the service's other upstreams in the same window."""
 
-    #: Their counts, without the worst of them.
+    #: Sum of the other upstreams' counts, without the worst of them.
     others: Counts
-    #: What they did in this member's last few attempts: the share of failures that would be
-    #: unremarkable, and their mean log latency ratio.
+    #: From this member's latest attempts at the others: the failure share and the log latency ratio
+    #: that would be no outlier.
     latest_failure_share: float = 0.0
-    latest_slowness: float = SLOWNESS_LEAST
+    latest_slowness: float = MIN_SLOWNESS
 
     @property
     def usable(self) -> bool:
-        """Return whether there is anything to compare with."""
-        return self.others.attempts >= _FEWEST_OTHERS
+        """Return whether there are enough attempts to compare with."""
+        return self.others.attempts >= _MIN_OTHERS
 
     @property
     def failure_share(self) -> float:
-        """Return the share of failures that would be unremarkable now."""
+        """Return the failure share that would be no outlier now."""
         attempts = self.others.attempts + 1.0
         share = min(1.0, max(0.0, self.others.failures / attempts))
         deviation = math.sqrt(share * (1.0 - share) / attempts)
@@ -68,8 +68,8 @@
 class Comparison:
     """The counts of all upstreams of a service in one window, to compare each with the others.
 
-    The worst others are left out by failures. Slowness needs no such rule because the logarithms
-    are clipped before they are summed.
+    The others with the highest failure shares are excluded. Slowness needs no exclusion because the
+    logarithms are clipped before they are summed.
     """
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
         self._total = self._total + counts
 
     def others(self, name: UpstreamName) -> Counts:
-        """Return the counts of the upstreams other than this one."""
+        """Return the sum of the other upstreams' counts, without the worst of them."""
         others = self._total - self._counts.get(name, NOTHING)
         for outlier in self._outliers(name):
             others = others - self._counts[outlier]
@@ -98,21 +98,21 @@
 
 
 def failures_stand_out(counts: Counts) -> bool:
-    """Return whether there are more failures than any healthy upstream may have."""
-    few = counts.failures < _FEWEST_FAILURES
+    """Return whether there are more failures than a healthy upstream may have."""
+    few = counts.failures < _MIN_FAILURES
     return not few and counts.failures > TOLERATED_FAILURE_SHARE * counts.attempts
 
 
 def slowness_stands_out(counts: Counts, tolerated_log: float) -> bool:
-    """Return whether answers are slow enough to be worth comparing."""
+    """Return whether responses are slow enough that a comparison is needed."""
     return counts.slowness > (tolerated_log - _OTHERS_FASTER_LOG) * counts.timed
 
 
 def failure_score(counts: Counts, baseline: Baseline) -> float:
-    """Return the log likelihood ratio of the observed share of failures against the baseline's.
+    """Return the log likelihood ratio of the observed failure share against the baseline's.
 
-    It is the generalised ratio: the alternative is the share that was observed, so that one number
-    serves a complete failure (few attempts suffice) and a partial one (many are needed).
+    This is the generalised likelihood ratio: the alternative hypothesis is the observed share. One
+    number thus covers a complete failure (few attempts suffice) and a partial one (many are needed).
     """
     if not baseline.usable or counts.attempts <= 0.0:
         return 0.0
@@ -131,15 +131,15 @@
 ) -> float:
     """Return the log likelihood ratio of the mean log latency against a tolerated slowness.
 
-    A mean of clipped logarithms: one answer from the heavy tail moves it by a bounded amount.
+    The mean is that of clipped logarithms: one response from the heavy tail has a bounded influence.
     """
     others = baseline.others
-    if counts.timed < _FEWEST_TIMED or others.timed < _FEWEST_OTHERS:
+    if counts.timed < _MIN_TIMED or others.timed < _MIN_OTHERS:
         return 0.0
     others_mean = max(others.mean_slowness, baseline.latest_slowness)
     excess = counts.mean_slowness - others_mean - tolerated_log
     if excess <= 0.0:
         return 0.0
-    believed = max(LEAST_SPREAD, spread)
+    believed = max(MIN_SPREAD, spread)
     variance = _CORRELATION * believed * believed * (1.0 + counts.timed / others.timed)
     return counts.timed * excess * excess / (2.0 * variance)
--- a/src/egretrail/upstream/_suspects.py
+++ b/src/egretrail/upstream/_suspect_requests.py
@@ -1,8 +1,10 @@
-"""Requests that upstreams are lost with, and the limit on how many one request may touch.
+"""Suspect requests, which crash upstreams, and the limit on the upstreams that each may be sent to.
 
-Now and then one request crashes each upstream that runs it, and its caller sends it again. Such a
-request is recognised by its digest, whatever key it is sent with. The limit is made for a caller
-that resends without pause: without it one request takes a service down upstream by upstream.
+A request may crash each upstream that executes it while its client retries it. Such a request is
+identified by its digest, whatever idempotency key it has. Without the limit, a client that retries
+without pause would take a service down upstream by upstream.
+
+A loss is an attempt whose connection was lost; a request with at least one loss is suspect.
 """
 
 from collections import Counter, OrderedDict
@@ -12,37 +14,37 @@
 from egretrail.identity import ServiceName, UpstreamName
 from egretrail.wire import Message, message
 
-#: A loss is remembered for this long: longer than callers keep resending one request.
-MEMORY_S = 3600.0
+#: A loss is kept for this long: longer than clients keep retrying one request.
+RETENTION_S = 3600.0
 
-#: How long a lost attempt is taken to have lasted where that is not known. Attempts that were under
-#: way together are lost by one crash, and a process that crashed needs longer to start again.
-_LASTED_S = 2.0
+#: Assumed duration of a lost attempt when it is unknown. Attempts in flight at the same time are
+#: lost in one crash, and a crashed process needs longer than this to restart.
+_DEFAULT_DURATION_S = 2.0
 
-#: Digests remembered for one service. A crash loses what its upstream had in flight (a few slots),
-#: so that thousands of entries mean hundreds of crashes within the memory.
-SUSPECTS = 4096
+#: Limit on the digests kept for one service. A crash loses only the upstream's attempts in flight
+#: (a few slots), so that thousands of entries mean hundreds of crashes within the retention time.
+MAX_SUSPECTS = 4096
 
 
 @message("request-loss")
 @dataclass(frozen=True, slots=True)
 class RequestLoss(Message):
-    """Tells a member of the group that an upstream was lost with a request; acknowledged."""
+    """Reports a loss (an upstream and a request) to a member of the group; acknowledged."""
 
     #: The service the upstream belongs to.
     service: ServiceName
     #: Digest of the request.
     request_digest: int
-    #: The upstream that was lost.
+    #: The upstream whose connection was lost.
     upstream: UpstreamName
-    #: From the begin of the lost attempt to this message.
-    lasted_s: float = _LASTED_S
+    #: Time from the start of the lost attempt to this message.
+    lasted_s: float = _DEFAULT_DURATION_S
 
 
 @message("request-losses")
 @dataclass(frozen=True, slots=True)
 class RequestLosses(Message):
-    """The losses a member remembers, for a member that has just joined the group."""
+    """The losses that a member keeps, for a member that has just joined the group."""
 
     #: The losses, latest last.
     losses: Sequence[RequestLoss]
@@ -51,7 +53,7 @@
 @message("request-losses-wanted")
 @dataclass(frozen=True, slots=True)
 class RequestLossesWanted(Message):
-    """Asks a member for the losses that it remembers for one service."""
+    """Asks a member for the losses that it keeps for one service."""
 
     #: The service the losses belong to.
     service: ServiceName
@@ -60,7 +62,7 @@
 @message("request-answered")
 @dataclass(frozen=True, slots=True)
 class RequestAnswered(Message):
-    """Tells a member that an upstream answered a request that others were lost with."""
+    """Reports to a member that an upstream responded to a suspect request."""
 
     #: The service the upstream belongs to.
     service: ServiceName
@@ -84,79 +86,79 @@
     def __init__(self, upstreams_per_request: int) -> None:
         self.upstreams_per_request = upstreams_per_request
         self._losses: OrderedDict[int, list[_Loss]] = OrderedDict()
-        self._under_way: dict[int, Counter[UpstreamName]] = {}
+        self._in_flight: dict[int, Counter[UpstreamName]] = {}
 
     def note_loss(
         self,
         request_digest: int,
         upstream: UpstreamName,
         now_s: float,
-        lasted_s: float = _LASTED_S,
+        lasted_s: float = _DEFAULT_DURATION_S,
     ) -> None:
-        """Remember that the upstream was lost with the request, here or at another member.
+        """Record a loss observed by this or another member.
 
-        An attempt that began before an earlier loss of the same upstream was lost by the same
-        crash, or is told a second time; one that began later is another loss.
+        An attempt that began before an earlier loss of the same upstream was lost in the same crash,
+        or its report is a duplicate. An attempt that began later is another loss.
         """
         began_s = now_s - lasted_s
         losses = self._losses.setdefault(request_digest, [])
         self._losses.move_to_end(request_digest)
         if not any(loss.upstream == upstream and began_s <= loss.at_s for loss in losses):
             losses.append(_Loss(upstream, now_s))
-        self._forget(now_s)
+        self._evict(now_s)
 
     def note_answer(self, request_digest: int) -> bool:
-        """Clear a request that an upstream answered; return whether it was suspect.
+        """Clear a request that an upstream responded to; return whether the request was suspect.
 
-        Made for a popular request whose upstreams are lost for another reason, a rack or a crash
-        by some other request: without it, everybody's copies would be refused.
+        A popular request may lose upstreams for another reason, such as the outage of a rack or a
+        crash by another request. Without clearing, all clients' copies of it would be refused.
         """
         return self._losses.pop(request_digest, None) is not None
 
     def touched(self, request_digest: int) -> Sequence[UpstreamName]:
-        """Return the upstreams lost with the request, each once, first loss first."""
+        """Return the upstreams lost with the request, without duplicates, in order of first loss."""
         losses = self._losses.get(request_digest, ())
         return list(dict.fromkeys(loss.upstream for loss in losses))
 
     def may_touch_another(self, request_digest: int, now_s: float) -> bool:
         """Return whether the request may be sent to one more upstream.
 
-        Once a request is suspect, its copies under way count as losses to come: otherwise
-        parallel resends would pass the limit together.
+        Copies of a suspect request that are in flight count as losses: otherwise parallel retries
+        would exceed the limit together.
         """
-        self._forget(now_s)
+        self._evict(now_s)
         losses = self._losses.get(request_digest)
         if not losses:
             return True
-        at_risk = len(self._under_way.get(request_digest, ()))
+        at_risk = len(self._in_flight.get(request_digest, ()))
         return len(losses) + at_risk < self.upstreams_per_request
 
     def begin(self, request_digest: int, upstream: UpstreamName) -> None:
-        """Count a copy of the request as under way."""
-        self._under_way.setdefault(request_digest, Counter())[upstream] += 1
+        """Count a copy of the request as in flight."""
+        self._in_flight.setdefault(request_digest, Counter())[upstream] += 1
 
     def end(self, request_digest: int, upstream: UpstreamName) -> None:
-        """Count a copy of the request as ended, however it ended."""
-        copies = self._under_way.get(request_digest)
+        """Stop counting a copy of the request as in flight, whatever its outcome."""
+        copies = self._in_flight.get(request_digest)
         if copies is None:
             return
         copies[upstream] -= 1
         if copies[upstream] <= 0:
             del copies[upstream]
         if not copies:
-            del self._under_way[request_digest]
+            del self._in_flight[request_digest]
 
     def losses(self, service: ServiceName) -> Sequence[RequestLoss]:
-        """Return what is remembered, for a member that has just joined the group."""
+        """Return the losses that are kept, for a member that has just joined the group."""
         return [
             RequestLoss(service, digest, loss.upstream)
             for digest, losses in self._losses.items()
             for loss in losses
         ]
 
-    def _forget(self, now_s: float) -> None:
+    def _evict(self, now_s: float) -> None:
         while self._losses:
             digest, oldest = next(iter(self._losses.items()))
-            if len(self._losses) <= SUSPECTS and oldest[-1].at_s + MEMORY_S > now_s:
+            if len(self._losses) <= MAX_SUSPECTS and oldest[-1].at_s + RETENTION_S > now_s:
                 return
             del self._losses[digest]
--- a/src/egretrail/upstream/_thresholds.py
+++ b/src/egretrail/upstream/_thresholds.py
@@ -1,4 +1,4 @@
-"""What the two detection settings mean in numbers."""
+"""The numeric thresholds of each detection setting."""
 
 import math
 from dataclasses import dataclass
@@ -8,19 +8,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Thresholds:
-    """How much evidence convicts an upstream, and how it returns.
+    """How much evidence ejects an upstream, and how the upstream returns.
 
     Scores are log likelihood ratios: a score of ``s`` arises by chance in about one of ``exp(s)``
-    independent looks at a healthy upstream.
+    independent evaluations of a healthy upstream.
     """
 
-    #: The score that ejects.
+    #: The ejection score: an upstream whose score reaches it is ejected.
     eject_score: float
-    #: An upstream this many times as slow as the others is still tolerated.
+    #: Up to this multiple of the others' latency, an upstream is not considered slow.
     tolerated_slowness: float
-    #: The first ejection lasts this long; each following one twice as long.
+    #: Duration of the first ejection; each following one lasts twice as long.
     first_ejection_s: float
-    #: Good answers in a row that end the trial after an ejection, at each member.
+    #: Successful responses that end the trial after an ejection, counted over the group.
     trial_answers: int
 
     @property
@@ -29,10 +29,10 @@
         return math.log(self.tolerated_slowness)
 
 
-#: Three to four failures in the group's short window convict.
+#: Three to four failures in the group's short window eject.
 _PROMPT = Thresholds(eject_score=8.5, tolerated_slowness=1.6, first_ejection_s=5.0, trial_answers=4)
 
-#: Four to five failures convict; a chance ejection is some thirty times rarer.
+#: Four to five failures eject; a chance ejection is about thirty times rarer.
 _PATIENT = Thresholds(
     eject_score=12.0, tolerated_slowness=2.0, first_ejection_s=5.0, trial_answers=6
 )
@@ -41,5 +41,5 @@
 
 
 def thresholds(detection: Detection) -> Thresholds:
-    """Return the numbers behind a service's detection setting."""
+    """Return the thresholds of a service's detection setting."""
     return _BY_DETECTION[detection]
--- a/src/egretrail/upstream/_verdict.py
+++ b/src/egretrail/upstream/_verdict.py
@@ -1,4 +1,4 @@
-"""What an instance decides about an upstream."""
+"""The result of health checking: an upstream's state, its weight, and the cause."""
 
 import enum
 from dataclasses import dataclass
@@ -7,50 +7,50 @@
 class UpstreamState(enum.Enum):
     """Whether and how an upstream receives work."""
 
-    #: It gets its full share.
+    #: It receives its full share.
     HEALTHY = "healthy"
     #: It stays in service with a smaller share.
     DEGRADED = "degraded"
-    #: It gets no work.
+    #: It receives no work.
     EJECTED = "ejected"
-    #: It gets a trickle of idempotent work after an ejection.
+    #: It receives a small share of idempotent requests after an ejection.
     TRIAL = "trial"
-    #: Its share grows after a start or a return.
+    #: Its share grows after its start or its return to service.
     RAMPING = "ramping"
 
 
 class Cause(enum.Enum):
-    """Why an upstream is not simply healthy."""
+    """Why an upstream is not healthy."""
 
-    #: Nothing is wrong.
+    #: No fault is known.
     NONE = "none"
     #: It fails more often than the service's other upstreams.
     FAILURES = "failures"
     #: It is slower than the service's other upstreams.
     SLOWNESS = "slowness"
-    #: Only this instance sees it fail, other members of the group do not.
+    #: The network path is bad: it fails for this instance, but not for other members of the group.
     PATH = "path"
-    #: A request that loses its upstreams was lost with it.
+    #: A suspect request, which crashes upstreams, was lost with it.
     CRASHED_BY_REQUEST = "crashed-by-request"
-    #: It declines work that other upstreams accept.
+    #: It rejects work that other upstreams accept.
     SHEDDING = "shedding"
     #: Another member of the group ejected it.
     PEER = "peer"
-    #: It is new, or returns from an ejection.
+    #: It is new, or has returned from an ejection.
     START = "start"
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The share of work that an upstream gets, and why."""
+    """An upstream's state and share of work, and the cause."""
 
     #: Whether and how the upstream receives work.
     state: UpstreamState
-    #: Its share relative to a healthy upstream, from 0 to 1.
+    #: The upstream's share relative to a healthy one, from 0 to 1.
     weight: float
-    #: Why it has this state.
+    #: The cause of the state.
     cause: Cause
-    #: When it entered this state, on the instance's own clock.
+    #: Start of the state, on the instance's own clock.
     since_s: float
 
     @property
--- a/src/egretrail/upstream/_window.py
+++ b/src/egretrail/upstream/_window.py
@@ -1,4 +1,4 @@
-"""Counts of recent attempts that fade with newer attempts and with time."""
+"""Counts of recent attempts that decay with further attempts and with time."""
 
 import math
 from dataclasses import dataclass
@@ -6,15 +6,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Attempts and failures, and how long answers took; the sum over members is meaningful."""
+    """Attempts, failures and latencies; counts of several members may be added."""
 
-    #: Attempts that ended as evidence.
+    #: Finished attempts that count as evidence.
     attempts: float = 0.0
-    #: Those of them that failed.
+    #: Failures among these attempts.
     failures: float = 0.0
-    #: Answers whose latency was compared.
+    #: Responses whose latency was compared with the median of their kind.
     timed: float = 0.0
-    #: Sum of the logarithms of their latency relative to the median of their kind.
+    #: Sum of the log ratios of their latencies to the median of their kind.
     slowness: float = 0.0
 
     def __add__(self, other: "Counts") -> "Counts":
@@ -34,7 +34,7 @@
         )
 
     def times(self, factor: float) -> "Counts":
-        """Return the counts scaled by a factor."""
+        """Return the counts multiplied by a factor."""
         return Counts(
             self.attempts * factor,
             self.failures * factor,
@@ -58,29 +58,29 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowShape:
-    """How fast a window forgets."""
+    """How fast the counts of a window decay."""
 
-    #: What remains of the counts after one more attempt.
+    #: Factor on the counts for each further attempt.
     kept_per_attempt: float
-    #: What remains after this long is 1/e.
-    life_s: float
+    #: Time constant: after this time, 1/e of the counts remains.
+    decay_s: float
 
     def kept_after(self, elapsed_s: float) -> float:
-        """Return what remains of counts after a time."""
-        return math.exp(-max(0.0, elapsed_s) / self.life_s)
+        """Return the share of the counts that remains after an elapsed time."""
+        return math.exp(-max(0.0, elapsed_s) / self.decay_s)
 
 
-#: Sees an abrupt failure: about the last four attempts of each member, so that four failures in
-#: the group stand out against hundreds of earlier answers.
-SHORT = WindowShape(kept_per_attempt=0.75, life_s=10.0)
+#: For abrupt failures: about the last four attempts of each member, so that four failures in the
+#: group are an outlier against hundreds of earlier successes.
+SHORT = WindowShape(kept_per_attempt=0.75, decay_s=10.0)
 
-#: Sees partial failures: about the last forty attempts of each member. A tenth failing needs about
-#: eighty attempts to be told from one in a hundred.
-LONG = WindowShape(kept_per_attempt=0.975, life_s=40.0)
+#: For partial failures: about the last forty attempts of each member. Distinguishing a failure
+#: share of a tenth from a hundredth needs about eighty attempts.
+LONG = WindowShape(kept_per_attempt=0.975, decay_s=40.0)
 
 
 class Window:
-    """One fading window of one member over one upstream."""
+    """One member's decaying window of attempts at one upstream."""
 
     __slots__ = ("_at_s", "_attempts", "_failures", "_shape", "_slowness", "_timed")
 
@@ -93,11 +93,11 @@
         self._slowness = 0.0
 
     def clear(self, now_s: float) -> None:
-        """Forget everything."""
+        """Reset all counts."""
         self.__init__(self._shape, now_s)  # type: ignore[misc]
 
     def add_answer(self, slowness: float | None, now_s: float) -> None:
-        """Count a good answer; ``slowness`` is its log latency ratio, None when not compared."""
+        """Count a success; ``slowness`` is its log latency ratio, None when not compared."""
         self._fade(1.0, now_s)
         self._attempts += 1.0
         if slowness is not None:
@@ -105,19 +105,19 @@
             self._slowness += slowness
 
     def add_failure(self, weight: float, now_s: float) -> None:
-        """Count a failure with a weight: below 1 when something else explains it."""
+        """Count a failure with a weight, which is below 1 when another cause explains it."""
         self._fade(weight, now_s)
         self._attempts += weight
         self._failures += weight
 
-    def excuse(self, weight: float) -> None:
-        """Take back a failure that something else turned out to explain."""
+    def retract_failure(self, weight: float) -> None:
+        """Subtract a failure that another cause turned out to explain."""
         excused = min(weight, self._failures)
         self._failures -= excused
         self._attempts -= excused
 
     def counts(self, now_s: float) -> Counts:
-        """Return the counts as faded by now."""
+        """Return the counts, decayed until now."""
         kept = self._shape.kept_after(now_s - self._at_s)
         return Counts(
             self._attempts * kept,
@@ -127,7 +127,7 @@
         )
 
     def counts_with(self, overdue: int, slowness: float, now_s: float) -> Counts:
-        """Return the counts as if ``overdue`` more answers had come, each this slow."""
+        """Return the counts as if ``overdue`` more responses had arrived, each this slow."""
         counts = self.counts(now_s)
         if overdue == 0:
             return counts
--- a/src/egretrail/upstream/tests/_faults.py
+++ b/src/egretrail/upstream/tests/_faults.py
@@ -115,7 +115,7 @@
 
 
 #: Faults of upstream 0 alone: it has to be ejected, and nothing else.
-BAD: Mapping[str, Plan] = {
+MUST_EJECT: Mapping[str, Plan] = {
     "hard": Plan(fault=hard),
     "refused": Plan(fault=refused),
     "failing_30": Plan(fault=failing_share(0.3)),
@@ -128,7 +128,7 @@
 }
 
 #: Nothing may be ejected.
-INNOCENT: Mapping[str, Plan] = {
+MUST_NOT_EJECT: Mapping[str, Plan] = {
     "healthy": Plan(),
     "heavy_tail": Plan(spread=1.0),
     "heavy_tail_long": Plan(spread=1.0, seconds=300.0),
--- a/src/egretrail/upstream/tests/_measure.py
+++ b/src/egretrail/upstream/tests/_measure.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from egretrail.settings import Detection
-from egretrail.upstream.tests._faults import BAD, INNOCENT, ONSET_S
+from egretrail.upstream.tests._faults import MUST_EJECT, MUST_NOT_EJECT, ONSET_S
 from egretrail.upstream.tests._simulation import Plan, simulate
 
 #: The first seed that was held out of tuning.
@@ -53,16 +53,18 @@
     """Print the table."""
     print("| trace | detection | seeds | runs | s p50/p90/max | requests p50/p90/max | false |")
     print("|---|---|---|---|---|---|---|")
-    for name, plan in {**BAD, **INNOCENT}.items():
+    for name, plan in {**MUST_EJECT, **MUST_NOT_EJECT}.items():
         if names and name not in names:
             continue
         for detection in Detection:
-            tasted = replace(plan, detection=detection)
+            configured = replace(plan, detection=detection)
             third = seeds // 3
-            tuned = [_run(tasted, seed, name in BAD) for seed in range(seeds - third)]
-            print(_row(name, "tuned", detection, tuned, name in BAD))
-            held_out = [_run(tasted, _HELD_OUT + seed, name in BAD) for seed in range(third)]
-            print(_row(name, "held out", detection, held_out, name in BAD), flush=True)
+            tuned = [_run(configured, seed, name in MUST_EJECT) for seed in range(seeds - third)]
+            print(_row(name, "tuned", detection, tuned, name in MUST_EJECT))
+            held_out = [
+                _run(configured, _HELD_OUT + seed, name in MUST_EJECT) for seed in range(third)
+            ]
+            print(_row(name, "held out", detection, held_out, name in MUST_EJECT), flush=True)
 
 
 if __name__ == "__main__":
--- a/src/egretrail/upstream/tests/_simulation.py
+++ b/src/egretrail/upstream/tests/_simulation.py
@@ -115,7 +115,7 @@
         self._at(0.0, self._arrive)
         for member in range(self.plan.members):
             self._at(0.05, partial(self._tick, member))
-            self._at(0.3 * member, partial(self._tell, member))
+            self._at(0.3 * member, partial(self._exchange, member))
         while self._events:
             at_s, _, act = heapq.heappop(self._events)
             if at_s > self.plan.seconds:
@@ -177,20 +177,20 @@
             request.size_bytes,
         )
         health.record(attempt, now_s)
-        self._look_at(request.member, request.upstream, now_s)
-        self._tell_urgent(request.member, now_s)
+        self._record_ejection(request.member, request.upstream, now_s)
+        self._exchange_urgent(request.member, now_s)
 
     def _tick(self, member: int, now_s: float) -> None:
         self.outcome.health[member].tick(now_s)
-        self._look(member, now_s)
-        self._tell_urgent(member, now_s)
+        self._record_ejections(member, now_s)
+        self._exchange_urgent(member, now_s)
         self._at(now_s + 0.1, partial(self._tick, member))
 
-    def _tell(self, member: int, now_s: float) -> None:
+    def _exchange(self, member: int, now_s: float) -> None:
         self._deliver(member, self.outcome.health[member].own_evidence(now_s), now_s)
-        self._at(now_s + 1.0, partial(self._tell, member))
+        self._at(now_s + 1.0, partial(self._exchange, member))
 
-    def _tell_urgent(self, member: int, now_s: float) -> None:
+    def _exchange_urgent(self, member: int, now_s: float) -> None:
         evidence = self.outcome.health[member].urgent_evidence(now_s)
         if evidence is not None:
             self._deliver(member, evidence, now_s)
@@ -208,13 +208,13 @@
     def _merge(self, sender: int, to: int, evidence: object, now_s: float) -> None:
         health = self.outcome.health[to]
         health.merge(InstanceName(f"m{sender}"), evidence, now_s)  # type: ignore[arg-type]
-        self._look(to, now_s)
+        self._record_ejections(to, now_s)
 
-    def _look(self, member: int, now_s: float) -> None:
+    def _record_ejections(self, member: int, now_s: float) -> None:
         for index in range(len(self.names)):
-            self._look_at(member, index, now_s)
+            self._record_ejection(member, index, now_s)
 
-    def _look_at(self, member: int, index: int, now_s: float) -> None:
+    def _record_ejection(self, member: int, index: int, now_s: float) -> None:
         verdict = self.outcome.health[member].verdict(self.names[index], now_s)
         out = verdict.state is UpstreamState.EJECTED
         if out and not self._was_out[member][index]:
--- a/src/egretrail/upstream/tests/test_detection.py
+++ b/src/egretrail/upstream/tests/test_detection.py
@@ -5,7 +5,7 @@
 from egretrail.settings import Detection
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.upstream import Cause, NoRights, UpstreamState
-from egretrail.upstream.tests._faults import BAD, INNOCENT, ONSET_S, hard
+from egretrail.upstream.tests._faults import MUST_EJECT, MUST_NOT_EJECT, ONSET_S, hard
 from egretrail.upstream.tests._simulation import SERVICE, Plan, simulate
 
 _SEED = 101
@@ -33,16 +33,16 @@
     )
     def test_the_bad_upstream_stops_and_no_other(self, bound: _Bound) -> None:
         for detection in Detection:
-            plan = replace(BAD[bound.name], detection=detection, seconds=18.0)
+            plan = replace(MUST_EJECT[bound.name], detection=detection, seconds=18.0)
             outcome = simulate(plan, _SEED)
             stopped_s = outcome.stopped_s(0, ONSET_S)
             sent = outcome.sent_between(0, ONSET_S, ONSET_S + stopped_s)
             self.assertEqual({0}, outcome.ejected())
             self.assertLessEqual(sent, bound.requests)
 
-    @cases({name: name for name in INNOCENT if not name.endswith("_long")})
+    @cases({name: name for name in MUST_NOT_EJECT if not name.endswith("_long")})
     def test_nothing_is_ejected(self, name: str) -> None:
-        plan = replace(INNOCENT[name], detection=Detection.PROMPT, seconds=18.0)
+        plan = replace(MUST_NOT_EJECT[name], detection=Detection.PROMPT, seconds=18.0)
         self.assertEqual(set(), simulate(plan, _SEED).ejected())
 
     def test_sharing_evidence_finds_a_failure_with_fewer_requests(self) -> None:
@@ -65,7 +65,7 @@
             self.assertTrue(verdict.in_service)
 
     def test_only_the_member_with_the_bad_path_shifts(self) -> None:
-        outcome = simulate(replace(INNOCENT["bad_path"], seconds=14.0), _SEED)
+        outcome = simulate(replace(MUST_NOT_EJECT["bad_path"], seconds=14.0), _SEED)
         first = next(iter(outcome.health[0].verdicts(14.0)))
         verdicts = [health.verdict(first, 14.0) for health in outcome.health]
         self.assertEqual(Cause.PATH, verdicts[1].cause)
@@ -73,7 +73,7 @@
         self.assertEqual([1.0, 1.0], [verdicts[0].weight, verdicts[2].weight])
 
     def test_decisions_repeat_exactly(self) -> None:
-        plan = replace(BAD["failing_30"], seconds=15.0)
+        plan = replace(MUST_EJECT["failing_30"], seconds=15.0)
         one, other = simulate(plan, 7), simulate(plan, 7)
         self.assertEqual(one.ejections, other.ejections)
         self.assertEqual(one.sent, other.sent)
--- a/src/egretrail/upstream/tests/test_lifecycle.py
+++ b/src/egretrail/upstream/tests/test_lifecycle.py
@@ -31,7 +31,7 @@
         return self.covered
 
 
-class _Driven:
+class _HealthDriver:
     """One member's health with a clock that attempts move on."""
 
     def __init__(self, rights: EjectionRights | None = None) -> None:
@@ -83,108 +83,108 @@
 
 
 class LifecycleTest(EgretrailTestCase):
-    def _ejected(self, rights: EjectionRights | None = None) -> _Driven:
-        driven = _Driven(rights)
+    def _ejected(self, rights: EjectionRights | None = None) -> _HealthDriver:
+        driver = _HealthDriver(rights)
         for _ in range(10):
-            driven.round(AttemptOutcome.ANSWERED)
-        driven.until(UpstreamState.EJECTED, AttemptOutcome.FAILED)
-        return driven
+            driver.round(AttemptOutcome.ANSWERED)
+        driver.until(UpstreamState.EJECTED, AttemptOutcome.FAILED)
+        return driver
 
     def test_it_returns_through_a_trial_and_a_ramp(self) -> None:
-        driven = self._ejected()
-        driven.wait(UpstreamState.TRIAL)
-        verdict = driven.health.verdict(_BAD, driven.now_s)
+        driver = self._ejected()
+        driver.wait(UpstreamState.TRIAL)
+        verdict = driver.health.verdict(_BAD, driver.now_s)
         self.assertTrue(verdict.idempotent_only)
         self.assertLessEqual(verdict.weight, 0.1)
-        driven.until(UpstreamState.RAMPING, AttemptOutcome.ANSWERED)
-        self.assertLess(driven.health.verdict(_BAD, driven.now_s).weight, 0.3)
-        driven.wait(UpstreamState.HEALTHY)
-        self.assertEqual(1.0, driven.health.verdict(_BAD, driven.now_s).weight)
+        driver.until(UpstreamState.RAMPING, AttemptOutcome.ANSWERED)
+        self.assertLess(driver.health.verdict(_BAD, driver.now_s).weight, 0.3)
+        driver.wait(UpstreamState.HEALTHY)
+        self.assertEqual(1.0, driver.health.verdict(_BAD, driver.now_s).weight)
 
     def test_one_failure_ends_a_trial_and_each_ejection_is_longer(self) -> None:
-        driven = self._ejected()
+        driver = self._ejected()
         lengths_s = []
         for _ in range(4):
-            lengths_s.append(driven.wait(UpstreamState.TRIAL))
-            driven.attempt(_BAD, AttemptOutcome.FAILED)
-            self.assertIs(UpstreamState.EJECTED, driven.state)
+            lengths_s.append(driver.wait(UpstreamState.TRIAL))
+            driver.attempt(_BAD, AttemptOutcome.FAILED)
+            self.assertIs(UpstreamState.EJECTED, driver.state)
         for shorter_s, longer_s in pairwise(lengths_s):
             self.assertGreater(longer_s, 1.5 * shorter_s)
 
     def test_answers_that_began_before_the_ejection_do_not_shorten_it(self) -> None:
-        driven = self._ejected()
+        driver = self._ejected()
         late = Attempt(
-            _BAD, AttemptOutcome.FAILED, 9.0, driven.now_s - 1.0, 1, "GET", CallerId("late")
+            _BAD, AttemptOutcome.FAILED, 9.0, driver.now_s - 1.0, 1, "GET", CallerId("late")
         )
-        driven.wait(UpstreamState.TRIAL)
-        driven.health.record(late, driven.now_s)
-        self.assertIs(UpstreamState.TRIAL, driven.state)
+        driver.wait(UpstreamState.TRIAL)
+        driver.health.record(late, driver.now_s)
+        self.assertIs(UpstreamState.TRIAL, driver.state)
 
     def test_a_lapsed_right_ends_the_ejection_at_once(self) -> None:
         rights = _Revocable()
-        driven = self._ejected(rights)
+        driver = self._ejected(rights)
         rights.covered = False
-        verdict = driven.health.verdict(_BAD, driven.now_s)
+        verdict = driver.health.verdict(_BAD, driver.now_s)
         self.assertIs(UpstreamState.DEGRADED, verdict.state)
         self.assertTrue(verdict.in_service)
 
     def test_a_peer_adopts_an_ejection_once(self) -> None:
-        driven = self._ejected()
-        other = _Driven()
-        evidence = driven.health.own_evidence(driven.now_s)
+        driver = self._ejected()
+        other = _HealthDriver()
+        evidence = driver.health.own_evidence(driver.now_s)
         other.health.merge(InstanceName("m1"), evidence, 0.0)
         self.assertIs(UpstreamState.EJECTED, other.state)
         self.assertEqual(Cause.PEER, other.health.verdict(_BAD, 0.0).cause)
         other.wait(UpstreamState.TRIAL)
-        again = driven.health.own_evidence(driven.now_s)
+        again = driver.health.own_evidence(driver.now_s)
         other.health.merge(InstanceName("m1"), again, other.now_s)
         self.assertIs(UpstreamState.TRIAL, other.state)
 
     def test_a_new_upstream_ramps(self) -> None:
-        driven = _Driven()
-        driven.health.set_upstreams([*_NAMES, UpstreamName("new")], 1.0)
-        verdict = driven.health.verdict(UpstreamName("new"), 1.0)
+        driver = _HealthDriver()
+        driver.health.set_upstreams([*_NAMES, UpstreamName("new")], 1.0)
+        verdict = driver.health.verdict(UpstreamName("new"), 1.0)
         self.assertIs(UpstreamState.RAMPING, verdict.state)
         self.assertLess(verdict.weight, 0.2)
 
     def test_an_upstream_that_alone_sheds_gets_less_but_stays(self) -> None:
-        driven = _Driven()
+        driver = _HealthDriver()
         for _ in range(20):
-            driven.round(AttemptOutcome.SHED)
-        verdict = driven.health.verdict(_BAD, driven.now_s)
+            driver.round(AttemptOutcome.SHED)
+        verdict = driver.health.verdict(_BAD, driver.now_s)
         self.assertEqual(Cause.SHEDDING, verdict.cause)
         self.assertTrue(0.1 < verdict.weight < 0.6)
 
     def test_losses_to_a_suspect_request_do_not_eject(self) -> None:
-        driven = _Driven()
+        driver = _HealthDriver()
         for _ in range(10):
-            driven.round(AttemptOutcome.ANSWERED)
+            driver.round(AttemptOutcome.ANSWERED)
         for outcome in (AttemptOutcome.LOST, *[AttemptOutcome.REFUSED] * 12):
             for name in _NAMES[1:]:
-                driven.attempt(name, AttemptOutcome.ANSWERED)
-            driven.attempt(_BAD, outcome, suspect=outcome is AttemptOutcome.LOST)
-        verdict = driven.health.verdict(_BAD, driven.now_s)
+                driver.attempt(name, AttemptOutcome.ANSWERED)
+            driver.attempt(_BAD, outcome, suspect=outcome is AttemptOutcome.LOST)
+        verdict = driver.health.verdict(_BAD, driver.now_s)
         self.assertEqual(Cause.CRASHED_BY_REQUEST, verdict.cause)
         self.assertTrue(verdict.in_service)
 
     def test_a_caller_that_fails_everywhere_convicts_nobody(self) -> None:
-        driven = _Driven()
+        driver = _HealthDriver()
         broken = CallerId("broken")
         for name in _NAMES[1:]:
-            driven.attempt(name, AttemptOutcome.FAILED, caller=broken)
+            driver.attempt(name, AttemptOutcome.FAILED, caller=broken)
         for _ in range(10):
-            driven.round(AttemptOutcome.ANSWERED)
+            driver.round(AttemptOutcome.ANSWERED)
         for _ in range(8):
             for name in _NAMES[1:]:
-                driven.attempt(name, AttemptOutcome.ANSWERED)
-            driven.attempt(_BAD, AttemptOutcome.FAILED, caller=broken)
-        self.assertTrue(driven.health.verdict(_BAD, driven.now_s).in_service)
+                driver.attempt(name, AttemptOutcome.ANSWERED)
+            driver.attempt(_BAD, AttemptOutcome.FAILED, caller=broken)
+        self.assertTrue(driver.health.verdict(_BAD, driver.now_s).in_service)
 
     def test_an_excused_upstream_returns_at_once(self) -> None:
-        driven = self._ejected()
-        driven.health.excuse(_BAD, observed_here=True, now_s=driven.now_s)
-        verdict = driven.health.verdict(_BAD, driven.now_s)
+        driver = self._ejected()
+        driver.health.excuse(_BAD, observed_here=True, now_s=driver.now_s)
+        verdict = driver.health.verdict(_BAD, driver.now_s)
         self.assertEqual(Cause.CRASHED_BY_REQUEST, verdict.cause)
         self.assertTrue(verdict.in_service)
-        driven.attempt(_BAD, AttemptOutcome.ANSWERED)
-        self.assertIs(UpstreamState.TRIAL, driven.state)
+        driver.attempt(_BAD, AttemptOutcome.ANSWERED)
+        self.assertIs(UpstreamState.TRIAL, driver.state)
--- a/src/egretrail/upstream/tests/test_retune.py
+++ b/src/egretrail/upstream/tests/test_settings_change.py
@@ -29,7 +29,7 @@
     return ServiceHealth(ServiceName("t/s"), detection, 0.0, UnlimitedRights(), rng)
 
 
-class RetuneTest(EgretrailTestCase):
+class SettingsChangeTest(EgretrailTestCase):
     def test_a_changed_detection_judges_as_if_it_had_always_been_so(self) -> None:
         patient = _failures_until_ejected(_health(Detection.PATIENT))
         prompt = _failures_until_ejected(_health(Detection.PROMPT))
