--- a/src/egretrail/upstream/_health.py
+++ b/src/egretrail/upstream/_health.py
@@ -112,7 +112,7 @@
         known = self._upstreams.get(upstream)
         if known is not None:
             if observed_here:
-                known.observed.retract_loss()
+                known.observed.subtract_loss()
             known.lifecycle.retract_ejection(now_s)
             known.lifecycle.start_crash_grace(now_s)
 
--- a/src/egretrail/upstream/_observations.py
+++ b/src/egretrail/upstream/_observations.py
@@ -96,7 +96,7 @@
         self._last_loss_s = now_s
         return same
 
-    def retract_loss(self) -> None:
+    def subtract_loss(self) -> None:
         """Subtract one loss that turned out to be caused by a request."""
         self.short.retract_failure(1.0)
         self.long.retract_failure(1.0)
