--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -26,7 +26,7 @@
     RumourState,
     Slowness,
 )
-from egretrail.floor import EjectionsAnswer, EjectionsAsk
+from egretrail.floor import EjectionsReply, FetchEjections
 from egretrail.identity import (
     AvailabilityZone,
     CallerId,
@@ -129,7 +129,7 @@
     health = ServiceHealth(service, Detection.PATIENT, 10.0, NoRights(), random.Random(1))
     health.set_upstreams([UpstreamName(f"shop-{n}") for n in range(upstreams)], 0.0)
     for number in range(upstreams * 20):
-        health.record(_attempt(number, upstreams), 0.1 + number * 0.001)
+        health.record_outcome(_attempt(number, upstreams), 0.1 + number * 0.001)
     return health
 
 
@@ -152,12 +152,12 @@
 
 def _merge_us(upstreams: int) -> float:
     health, evidence = _health(upstreams), _health(upstreams).own_evidence(1.0)
-    return _cpu_us(lambda: health.merge(InstanceName("other"), evidence, 1.0), 200)
+    return _cpu_us(lambda: health.apply_evidence(InstanceName("other"), evidence, 1.0), 200)
 
 
 def _record_us(upstreams: int) -> float:
     health = _health(upstreams)
-    return _cpu_us(lambda: health.record(_attempt(5, upstreams), 2.0), 500)
+    return _cpu_us(lambda: health.record_outcome(_attempt(5, upstreams), 2.0), 500)
 
 
 def _verdicts_us(upstreams: int) -> float:
@@ -205,8 +205,8 @@
     return {
         "heartbeat, no rumours": Ping(rumours[0], ()),
         "heartbeat, 6 rumours": Ping(rumours[0], rumours[1:]),
-        "question for ejections": EjectionsAsk(service),
-        "answer, none ejected": EjectionsAnswer(service, (), (1,)),
+        "question for ejections": FetchEjections(service),
+        "answer, none ejected": EjectionsReply(service, (), (1,)),
         "demand": DemandReport(service, 17),
     }
 
--- a/src/egretrail/daemon/_service_state.py
+++ b/src/egretrail/daemon/_service_state.py
@@ -44,7 +44,7 @@
 
     def may_run(self, digest: bytes, now_s: float) -> bool:
         """Return whether a request may be given to one more upstream; suspected ones may not."""
-        return self._state.suspects.may_touch_another(short_digest(digest), now_s)
+        return self._state.suspects.permits_another_upstream(short_digest(digest), now_s)
 
 
 class ServiceState:
@@ -81,7 +81,7 @@
     def take_settings(self, settings: ServiceSettings) -> None:
         """Go on with changed settings; what runs, waits and was observed is kept."""
         self.settings = settings
-        self.health.retune(settings.detection, settings.ramp_s)
+        self.health.apply_settings(settings.detection, settings.ramp_s)
         self.suspects.upstreams_per_request = settings.upstreams_per_request
         self.scheduler.budget.set_share(settings.retry_budget)
         self.trouble()
--- a/src/egretrail/floor/_holder.py
+++ b/src/egretrail/floor/_holder.py
@@ -42,7 +42,7 @@
     def eject(self, upstream: UpstreamName, allowance: int, now_s: float) -> bool:
         """Assign a right to an upstream; return False when no usable right is held.
 
-        Rights whose number is not below ``allowance`` are unusable.
+        Rights whose number is not below ``ejection_allowance`` are unusable.
         """
         if self.is_ejected(upstream, allowance):
             return True
@@ -71,7 +71,7 @@
         for held in self._held.values():
             held.upstream = None
 
-    def answer(self, now_s: float) -> Sequence[Ejection]:
+    def report_ejections(self, now_s: float) -> Sequence[Ejection]:
         """Return the ejections to report to a requester, which may honour them from now on."""
         ejections = []
         for number, held in sorted(self._held.items()):
@@ -81,16 +81,16 @@
                 ejections.append(Ejection(number, held.upstream))
         return ejections
 
-    def free(self, now_s: float) -> Sequence[int]:
+    def transferable(self, now_s: float) -> Sequence[int]:
         """Return the numbers of the rights that could be transferred now."""
         return [number for number, held in self._held.items() if self._may_transfer(held, now_s)]
 
-    def give(self, to: InstanceName, allowance: int, now_s: float) -> Right | None:
+    def transfer(self, to: InstanceName, allowance: int, now_s: float) -> Right | None:
         """Give up a free right in favour of one of its heirs; return None when there is none.
 
         The right is given up even if its new holder never receives it.
         """
-        for number in sorted(self.free(now_s)):
+        for number in sorted(self.transferable(now_s)):
             right = self._held[number].right
             if number < allowance and to in right.heirs:
                 del self._held[number]
@@ -106,11 +106,11 @@
         self._hold(right, float("-inf"))
         return True
 
-    def may_accept(self, now_s: float) -> bool:
+    def is_warmed_up(self, now_s: float) -> bool:
         """Return whether this process has run for the warm-up time and may take over rights."""
         return now_s - self._started_s >= self._timing.warm_up_s
 
-    def promise(self, number: int, epoch: int) -> bool:
+    def refuse_unless_held(self, number: int, epoch: int) -> bool:
         """Return whether the right is held; if not, refuse its registrations up to ``epoch``.
 
         Called for an instance that wants to reissue the right.
@@ -142,7 +142,7 @@
         """Give up a right that another process has registered in the store."""
         self._held.pop(number, None)
 
-    def lock(self, numbers: Iterable[int]) -> None:
+    def lock_transfers(self, numbers: Iterable[int]) -> None:
         """Prevent transfers of rights while a registration of them may still take effect.
 
         Otherwise a right could be transferred to an heir of the earlier registration. An instance
@@ -152,7 +152,7 @@
             if number in self._held:
                 self._held[number].is_locked = True
 
-    def unlock(self) -> None:
+    def unlock_transfers(self) -> None:
         """Permit transfers again: the outcome of every registration is known."""
         for held in self._held.values():
             held.is_locked = False
@@ -169,7 +169,7 @@
             if held.upstream is not None
         }
 
-    def had(self, number: int, epoch: int) -> bool:
+    def has_ever_held(self, number: int, epoch: int) -> bool:
         """Return whether this process ever held the right with this or a later registration."""
         return self._latest_epoch.get(number, 0) >= epoch
 
--- a/src/egretrail/floor/_honoured.py
+++ b/src/egretrail/floor/_honoured.py
@@ -28,7 +28,9 @@
         self._timing = timing
         self._replies: dict[InstanceName, _Reply] = {}
 
-    def note(self, holder: InstanceName, ejections: Sequence[Ejection], requested_s: float) -> None:
+    def record_reply(
+        self, holder: InstanceName, ejections: Sequence[Ejection], requested_s: float
+    ) -> None:
         """Record the reply to a request sent at ``requested_s``; older replies are ignored."""
         known = self._replies.get(holder)
         if known is not None and known.requested_s >= requested_s:
@@ -53,7 +55,7 @@
             for ejection in reply.ejections
         }
 
-    def forget_expired(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Remove expired replies."""
         for name, reply in list(self._replies.items()):
             if not self._is_valid(reply, now_s):
--- a/src/egretrail/floor/_messages.py
+++ b/src/egretrail/floor/_messages.py
@@ -31,8 +31,8 @@
 
 @message("floor.ejections-ask")
 @dataclass(frozen=True, slots=True)
-class EjectionsAsk(Message):
-    """Asks a holder for its ejections; the reply is ``EjectionsAnswer``."""
+class FetchEjections(Message):
+    """Asks a holder for its ejections; the reply is ``EjectionsReply``."""
 
     #: The service.
     service: ServiceName
@@ -40,7 +40,7 @@
 
 @message("floor.ejections-answer")
 @dataclass(frozen=True, slots=True)
-class EjectionsAnswer(Message):
+class EjectionsReply(Message):
     """A holder's current ejections; honoured for a limited time from when the request was sent."""
 
     #: The service.
@@ -62,8 +62,8 @@
 
 @message("floor.right-ask")
 @dataclass(frozen=True, slots=True)
-class RightAsk(Message):
-    """Asks a holder to transfer a right; the reply is ``RightAnswer``."""
+class RequestRight(Message):
+    """Asks a holder to transfer a right; the reply is ``RightTransfer``."""
 
     #: The service.
     service: ServiceName
@@ -73,7 +73,7 @@
 
 @message("floor.right-answer")
 @dataclass(frozen=True, slots=True)
-class RightAnswer(Message):
+class RightTransfer(Message):
     """Transfers a right: the sender has given it up, whether or not this message arrives."""
 
     #: The service.
@@ -84,8 +84,8 @@
 
 @message("floor.promise-ask")
 @dataclass(frozen=True, slots=True)
-class PromiseAsk(Message):
-    """Asks an instance to refuse the right of this registration; the reply is ``Promise``.
+class RequestPromise(Message):
+    """Asks an instance to refuse the right of this registration; the reply is ``PromiseReply``.
 
     Sent to the possible holders of a right before the right is reissued.
     """
@@ -100,7 +100,7 @@
 
 @message("floor.promise")
 @dataclass(frozen=True, slots=True)
-class Promise(Message):
+class PromiseReply(Message):
     """Tells whether the sender holds the right; if not, it promises to refuse that registration."""
 
     #: Whether the sender holds the right.
--- a/src/egretrail/floor/_record.py
+++ b/src/egretrail/floor/_record.py
@@ -34,7 +34,7 @@
                 return recorded
         return None
 
-    def registered(
+    def with_registration(
         self, number: int, owner: Incarnation, heirs: Sequence[InstanceName]
     ) -> "FloorRecord":
         """Return the record with a new registration of a right, for a compare-and-swap."""
@@ -79,7 +79,7 @@
         return Err(UnreadableRecord(service))
 
 
-def allowance(capacity_count: int, floor: int) -> int:
+def ejection_allowance(capacity_count: int, floor: int) -> int:
     """Return how many upstreams may be ejected.
 
     Only upstreams that are listed as live and are neither draining nor gone count as capacity, so
--- a/src/egretrail/floor/_registration.py
+++ b/src/egretrail/floor/_registration.py
@@ -8,9 +8,9 @@
 from egretrail.identity import Incarnation, InstanceName
 
 #: Returns whether a process is known to have ended; being unreachable does not prove that.
-GoneProof = Callable[[Incarnation], bool]
+IsProcessGone = Callable[[Incarnation], bool]
 #: Returns whether an instance is known to have had no running process a short time ago.
-NameProof = Callable[[InstanceName], bool]
+IsInstanceGone = Callable[[InstanceName], bool]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,12 +44,12 @@
             holder.drop(right.number)
     for recorded in record.rights:
         right = recorded.right
-        if recorded.owner == own and not holder.had(right.number, right.epoch):
+        if recorded.owner == own and not holder.has_ever_held(right.number, right.epoch):
             holder.issue(right, now_s, reissued=True)
 
 
-def must_promise(
-    recorded: RecordedRight, own: Incarnation, is_gone: GoneProof, is_name_gone: NameProof
+def required_promises(
+    recorded: RecordedRight, own: Incarnation, is_gone: IsProcessGone, is_name_gone: IsInstanceGone
 ) -> Sequence[InstanceName]:
     """Return the instances that must promise to refuse a right before the right is reissued.
 
@@ -86,11 +86,11 @@
     reissued = [recorded.right.number for recorded in promised]
     changed = record
     for number in [*renewed, *fresh, *reissued]:
-        changed = changed.registered(number, own, heirs)
+        changed = changed.with_registration(number, own, heirs)
     return Proposal(changed, renewed, fresh, reissued) if changed is not record else None
 
 
-def apply(proposal: Proposal, holder: RightsHolder, now_s: float) -> None:
+def apply_proposal(proposal: Proposal, holder: RightsHolder, now_s: float) -> None:
     """Hold the rights that a successful write of the proposal has registered."""
     for recorded in proposal.record.rights:
         right = recorded.right
--- a/src/egretrail/floor/tests/test_honouring_exploration.py
+++ b/src/egretrail/floor/tests/test_honouring_exploration.py
@@ -64,7 +64,7 @@
 def _reply(index: int) -> Action[_World]:
     def act(world: _World) -> None:
         exchange = world.exchanges[index]
-        exchange.ejections = world.holders[exchange.holder].answer(world.now_s)
+        exchange.ejections = world.holders[exchange.holder].report_ejections(world.now_s)
 
     return (f"exchange {index}: the holder replies", act)
 
@@ -74,7 +74,7 @@
         exchange = world.exchanges.pop(index)
         assert exchange.ejections is not None
         since_s = world.now_s if world.is_valid_from_receipt else exchange.requested_s
-        world.honoured.note(exchange.holder, exchange.ejections, since_s)
+        world.honoured.record_reply(exchange.holder, exchange.ejections, since_s)
 
     return (f"exchange {index}: the reply arrives", act)
 
@@ -98,7 +98,7 @@
 
 
 def _transfer(world: _World) -> None:
-    world.in_transit = world.holders[_HOLDERS[0]].give(_HOLDERS[1], _ALLOWANCE, world.now_s)
+    world.in_transit = world.holders[_HOLDERS[0]].transfer(_HOLDERS[1], _ALLOWANCE, world.now_s)
 
 
 def _receive_right(world: _World) -> None:
@@ -109,7 +109,7 @@
 
 def _reissue(world: _World) -> None:
     holder = world.holders[_HOLDERS[1]]
-    if not holder.promise(0, 1):
+    if not holder.refuse_unless_held(0, 1):
         holder.issue(Right(0, 2, _HOLDERS), world.now_s, reissued=True)
         world.reissued = True
 
--- a/src/egretrail/floor/tests/test_ownership_exploration.py
+++ b/src/egretrail/floor/tests/test_ownership_exploration.py
@@ -18,10 +18,10 @@
     Right,
     RightsHolder,
     RightsTiming,
-    apply,
-    must_promise,
+    apply_proposal,
     propose,
     reconcile,
+    required_promises,
 )
 from egretrail.floor.tests._exploration import Action, Exploration, holder_copy, holder_key
 from egretrail.identity import Incarnation, InstanceName
@@ -129,7 +129,7 @@
 
 def _transfer(sender: InstanceName, receiver: InstanceName) -> Action[_World]:
     def act(world: _World) -> None:
-        right = world.processes[sender].holder.give(receiver, 1, _WARM_S)
+        right = world.processes[sender].holder.transfer(receiver, 1, _WARM_S)
         if right is not None:
             world.in_transit = (right, world.processes[receiver].own)
 
@@ -164,7 +164,7 @@
     process.write, process.write_revision, process.applied = proposal, revision, False
     world.writes += 1
     if world.guards.locks_transfers:
-        process.holder.lock(proposal.renewed)
+        process.holder.lock_transfers(proposal.renewed)
 
 
 def _apply_write(name: InstanceName) -> Action[_World]:
@@ -177,7 +177,7 @@
             process.applied = True
         else:
             process.write = None
-            process.holder.unlock()
+            process.holder.unlock_transfers()
 
     return (f"the write of {name} is applied", act)
 
@@ -186,9 +186,9 @@
     def act(world: _World) -> None:
         process = world.processes[name]
         assert process.write is not None
-        apply(process.write, process.holder, _WARM_S)
+        apply_proposal(process.write, process.holder, _WARM_S)
         process.write = None
-        process.holder.unlock()
+        process.holder.unlock_transfers()
 
     return (f"{name} learns that its write was applied", act)
 
@@ -199,7 +199,7 @@
         reconcile(world.record, process.holder, process.own, _WARM_S)
         if process.write is not None and process.write_revision != world.revision:
             process.write = None
-            process.holder.unlock()
+            process.holder.unlock_transfers()
 
     return (f"{name} reads the record", act)
 
@@ -209,7 +209,7 @@
         process = world.processes[name]
         recorded = world.record.find(0)
         assert recorded is not None
-        asked = must_promise(recorded, process.own, world.is_gone, world.is_name_gone)
+        asked = required_promises(recorded, process.own, world.is_gone, world.is_name_gone)
         if not world.guards.requires_heirs:
             asked = [each for each in asked if each == recorded.owner.instance]
         if not world.guards.requires_live_owner:
@@ -226,7 +226,7 @@
         window = process.window
         assert window is not None
         process.to_promise = tuple(each for each in process.to_promise if each != asked)
-        if world.processes[asked].holder.promise(0, window.right.epoch):
+        if world.processes[asked].holder.refuse_unless_held(0, window.right.epoch):
             process.window, process.to_promise = None, ()
 
     return (f"{asked} replies to {name}", act)
@@ -238,7 +238,7 @@
         window = process.window
         assert window is not None
         process.window = None
-        if process.holder.promise(0, window.right.epoch):
+        if process.holder.refuse_unless_held(0, window.right.epoch):
             return
         holder = process.holder
         proposal = propose(FloorRecord([window]), holder, process.own, _NAMES, (), [window])
@@ -368,7 +368,7 @@
 class _BreaksPromises(RightsHolder):
     """Denies that it holds the right, but does not refuse the right afterwards."""
 
-    def promise(self, number: int, epoch: int) -> bool:
+    def refuse_unless_held(self, number: int, epoch: int) -> bool:
         return number in self._held
 
 
--- a/src/egretrail/runtime/_evidence.py
+++ b/src/egretrail/runtime/_evidence.py
@@ -96,8 +96,8 @@
     ) -> int:
         """Note an attempt that begins; return its ticket."""
         held = self._service(service)
-        held.suspects.begin(digest, upstream)
-        return held.health.begin(upstream, request_kind, self._now_s())
+        held.suspects.record_start(digest, upstream)
+        return held.health.record_start(upstream, request_kind, self._now_s())
 
     async def finish(self, service: ServiceName, ticket: int, attempt: Attempt) -> None:
         """Take a finished attempt; for a loss, return when the group was told, or after a bound.
@@ -106,14 +106,14 @@
         then meets a member that knows.
         """
         held = self._service(service)
-        held.health.end(ticket)
-        held.suspects.end(attempt.request_digest, attempt.upstream)
+        held.health.record_end(ticket)
+        held.suspects.record_end(attempt.request_digest, attempt.upstream)
         others = [
             name
-            for name in held.suspects.touched(attempt.request_digest)
+            for name in held.suspects.lost_upstreams(attempt.request_digest)
             if name != attempt.upstream
         ]
-        held.health.record(attempt, self._now_s(), suspect=bool(others))
+        held.health.record_outcome(attempt, self._now_s(), suspect=bool(others))
         self._send_urgent(service, held)
         if attempt.outcome is AttemptOutcome.ANSWERED:
             self._teller.answered(service, attempt.request_digest)
@@ -123,7 +123,7 @@
 
     async def may_touch(self, service: ServiceName, digest: int) -> bool:
         """Return whether a request may be sent to one more upstream; ask before each attempt."""
-        return self._service(service).suspects.may_touch_another(digest, self._now_s())
+        return self._service(service).suspects.permits_another_upstream(digest, self._now_s())
 
     def peer_in_flight(self, service: ServiceName, upstream: UpstreamName) -> int:
         """Return the attempts that the group's other members last said they have under way."""
@@ -189,10 +189,10 @@
         if self._incarnations.get(sender.instance) != sender:
             self._incarnations[sender.instance] = sender
             for held in self._services.values():
-                held.health.forget_member(sender.instance)
+                held.health.remove_member(sender.instance)
         known = self._services.get(evidence.service)
         if known is not None:
-            known.health.merge(sender.instance, evidence, self._now_s())
+            known.health.apply_evidence(sender.instance, evidence, self._now_s())
             self._send_urgent(evidence.service, known)
         return None
 
--- a/src/egretrail/runtime/_request_losses.py
+++ b/src/egretrail/runtime/_request_losses.py
@@ -10,10 +10,10 @@
 from egretrail.identity import Incarnation, InstanceName, ServiceName, UpstreamName
 from egretrail.peer import PeerNetwork
 from egretrail.upstream import (
+    FetchRequestLosses,
     RequestAnswered,
     RequestLoss,
     RequestLosses,
-    RequestLossesWanted,
     ServiceHealth,
     SuspectRequests,
 )
@@ -52,7 +52,7 @@
         """Begin to listen."""
         self._network.on(RequestLoss, self._on_loss)
         self._network.on(RequestAnswered, self._on_answered)
-        self._network.on(RequestLossesWanted, self._on_wanted)
+        self._network.on(FetchRequestLosses, self._on_wanted)
 
     async def stop(self) -> None:
         """Stop telling."""
@@ -83,7 +83,7 @@
 
     def answered(self, service: ServiceName, digest: int) -> None:
         """Clear a request that an upstream answered, at the whole group."""
-        if self._suspects(service).note_answer(digest):
+        if self._suspects(service).clear(digest):
             for peer in self._peers(service):
                 self._network.send(peer, RequestAnswered(service, digest))
 
@@ -92,10 +92,10 @@
         now_s = asyncio.get_running_loop().time()
         suspects = self._suspects(loss.service)
         digest = loss.request_digest
-        before = [name for name in suspects.touched(digest) if name != loss.upstream]
-        suspects.note_loss(digest, loss.upstream, now_s, loss.lasted_s)
+        before = [name for name in suspects.lost_upstreams(digest) if name != loss.upstream]
+        suspects.record_loss(digest, loss.upstream, now_s, loss.lasted_s)
         for name in before:
-            self._health(loss.service).excuse(name, observed_here, now_s)
+            self._health(loss.service).retract_loss(name, observed_here, now_s)
 
     async def _tell(self, peer: InstanceName, loss: RequestLoss, event: asyncio.Event) -> None:
         loop = asyncio.get_running_loop()
@@ -109,7 +109,7 @@
             await asyncio.sleep(_AGAIN_S)
 
     async def _learn(self, peer: InstanceName, service: ServiceName) -> None:
-        wanted = RequestLossesWanted(service)
+        wanted = FetchRequestLosses(service)
         reply = await self._network.ask(peer, wanted, RequestLosses, TELL_BOUND_S)
         if isinstance(reply, Ok):
             for loss in reply.ok_value.losses:
@@ -120,10 +120,10 @@
         return Acknowledged()
 
     async def _on_answered(self, _sender: Incarnation, told: RequestAnswered) -> Message | None:
-        self._suspects(told.service).note_answer(told.request_digest)
+        self._suspects(told.service).clear(told.request_digest)
         return None
 
-    async def _on_wanted(self, _sender: Incarnation, wanted: RequestLossesWanted) -> Message | None:
+    async def _on_wanted(self, _sender: Incarnation, wanted: FetchRequestLosses) -> Message | None:
         losses = self._suspects(wanted.service).losses(wanted.service)
         return RequestLosses(losses[-_LOSSES_PER_REPLY:])
 
--- a/src/egretrail/runtime/_rights.py
+++ b/src/egretrail/runtime/_rights.py
@@ -11,14 +11,14 @@
 
 from egretrail.fleet import MemberState
 from egretrail.floor import (
-    EjectionsAnswer,
-    EjectionsAsk,
     EjectionsChanged,
-    Promise,
-    PromiseAsk,
-    RightAnswer,
-    RightAsk,
+    EjectionsReply,
+    FetchEjections,
+    PromiseReply,
+    RequestPromise,
+    RequestRight,
     RightsTiming,
+    RightTransfer,
 )
 from egretrail.identity import Incarnation, InstanceName, ServiceName, UpstreamName
 from egretrail.peer import PeerNetwork
@@ -88,10 +88,10 @@
     async def start(self) -> None:
         """Answer questions, and begin to ask and to register."""
         self._started_s = _now_s()
-        self._network.on(EjectionsAsk, self._on_ejections_ask)
+        self._network.on(FetchEjections, self._on_ejections_ask)
         self._network.on(EjectionsChanged, self._on_changed)
-        self._network.on(RightAsk, self._on_right_ask)
-        self._network.on(PromiseAsk, self._on_promise_ask)
+        self._network.on(RequestRight, self._on_right_ask)
+        self._network.on(RequestPromise, self._on_promise_ask)
         self._spawn(self._ask_forever())
         self._spawn(self._register_forever())
 
@@ -194,7 +194,7 @@
 
     def _ask_when_due(self, service: ServiceName, state: ServiceRights) -> None:
         now_s = _now_s()
-        state.honoured.forget_expired(now_s)
+        state.honoured.remove_expired(now_s)
         peers = self._peers(service)
         if now_s - state.hinted_s < _HINT_S or state.honoured.ejections(now_s):
             for peer in peers:
@@ -205,12 +205,12 @@
 
     async def _ask(self, service: ServiceName, state: ServiceRights, peer: InstanceName) -> None:
         asked_s = _now_s()
-        ask = EjectionsAsk(service)
-        reply = await self._network.ask(peer, ask, EjectionsAnswer, _ASK_TIMEOUT_S)
+        ask = FetchEjections(service)
+        reply = await self._network.ask(peer, ask, EjectionsReply, _ASK_TIMEOUT_S)
         if isinstance(reply, Err):
             return
         answer = reply.ok_value
-        state.honoured.note(peer, answer.ejections, asked_s)
+        state.honoured.record_reply(peer, answer.ejections, asked_s)
         member = self._membership.member(peer)
         leaving = member is not None and member.state is MemberState.LEAVING
         if leaving and answer.free and not self._leaving:
@@ -228,10 +228,10 @@
     async def _take_from(
         self, service: ServiceName, state: ServiceRights, peer: InstanceName
     ) -> bool:
-        if not state.holder.may_accept(_now_s()):
+        if not state.holder.is_warmed_up(_now_s()):
             return False
-        ask = RightAsk(service, self._allowance(service))
-        reply = await self._network.ask(peer, ask, RightAnswer, _ASK_TIMEOUT_S)
+        ask = RequestRight(service, self._allowance(service))
+        reply = await self._network.ask(peer, ask, RightTransfer, _ASK_TIMEOUT_S)
         if isinstance(reply, Err) or reply.ok_value.right is None:
             return False
         return state.holder.accept(reply.ok_value.right, _now_s())
@@ -250,10 +250,12 @@
                     await self._registrar.register(service, state, needed=False)
             await asyncio.sleep(_ASK_PERIOD_S * 2 * self._rng.uniform(0.8, 1.2))
 
-    async def _on_ejections_ask(self, _: Incarnation, ask: EjectionsAsk) -> EjectionsAnswer:
+    async def _on_ejections_ask(self, _: Incarnation, ask: FetchEjections) -> EjectionsReply:
         state = self._state(ask.service)
         now_s = _now_s()
-        return EjectionsAnswer(ask.service, state.holder.answer(now_s), state.holder.free(now_s))
+        return EjectionsReply(
+            ask.service, state.holder.report_ejections(now_s), state.holder.transferable(now_s)
+        )
 
     async def _on_changed(self, sender: Incarnation, hint: EjectionsChanged) -> None:
         if hint.service not in self._source.services():
@@ -262,12 +264,14 @@
         state.hinted_s = _now_s()
         self._spawn(self._ask(hint.service, state, sender.instance))
 
-    async def _on_right_ask(self, sender: Incarnation, ask: RightAsk) -> RightAnswer:
+    async def _on_right_ask(self, sender: Incarnation, ask: RequestRight) -> RightTransfer:
         holder = self._state(ask.service).holder
-        return RightAnswer(ask.service, holder.give(sender.instance, ask.allowance, _now_s()))
+        return RightTransfer(ask.service, holder.transfer(sender.instance, ask.allowance, _now_s()))
 
-    async def _on_promise_ask(self, _: Incarnation, ask: PromiseAsk) -> Promise:
-        return Promise(self._state(ask.service).holder.promise(ask.number, ask.epoch))
+    async def _on_promise_ask(self, _: Incarnation, ask: RequestPromise) -> PromiseReply:
+        return PromiseReply(
+            self._state(ask.service).holder.refuse_unless_held(ask.number, ask.epoch)
+        )
 
     def _spawn(self, coroutine: Any) -> None:
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)
--- a/src/egretrail/runtime/_rights_register.py
+++ b/src/egretrail/runtime/_rights_register.py
@@ -10,21 +10,21 @@
 from egretrail.floor import (
     FloorRecord,
     HonouredEjections,
-    Promise,
-    PromiseAsk,
+    PromiseReply,
     Proposal,
     RecordedRight,
+    RequestPromise,
     Right,
     RightsHolder,
     RightsTiming,
-    allowance,
-    apply,
+    apply_proposal,
     dump_record,
-    must_promise,
+    ejection_allowance,
     parse_record,
     propose,
     reconcile,
     record_path,
+    required_promises,
 )
 from egretrail.identity import InstanceName, ServiceName, UpstreamName
 from egretrail.peer import PeerNetwork
@@ -55,7 +55,7 @@
 
     def allowance(self, service: ServiceName) -> int:
         """Return how many upstreams may be out of service."""
-        return allowance(len(self.capacity(service)), self.floor(service))
+        return ejection_allowance(len(self.capacity(service)), self.floor(service))
 
 
 class ServiceRights:
@@ -115,7 +115,7 @@
         state.record = parsed.ok_value
         reconcile(state.record, state.holder, self._own, _now_s())
         if state.pending_revision is not None and state.pending_revision != revision:
-            state.holder.unlock()
+            state.holder.unlock_transfers()
             state.pending_revision = None
         proposal = await self._proposal(service, state, needed)
         if proposal is None:
@@ -125,17 +125,17 @@
     async def _write(
         self, path: str, state: ServiceRights, proposal: Proposal, revision: int
     ) -> bool:
-        state.holder.lock(proposal.renewed)
+        state.holder.lock_transfers(proposal.renewed)
         written = await self._store.put(path, dump_record(proposal.record), revision)
         if isinstance(written, Err) and isinstance(written.err_value, WriteUnknown):
             state.pending_revision = revision
             return False
         if isinstance(written, Ok):
             state.record = proposal.record
-            apply(proposal, state.holder, _now_s())
+            apply_proposal(proposal, state.holder, _now_s())
             state.pending_revision = None
         if state.pending_revision is None:
-            state.holder.unlock()
+            state.holder.unlock_transfers()
         return isinstance(written, Ok)
 
     async def _proposal(
@@ -179,19 +179,19 @@
         # Only a fresh reading proves that no process of an heir's name has started since.
         if not await self._membership.read_list():
             return False
-        asked = must_promise(
+        asked = required_promises(
             recorded, self._own, self._membership.is_gone, self._membership.is_name_gone
         )
         for name in asked:
             if not await self._promises(name, service, right):
                 return False
-        if state.holder.promise(right.number, right.epoch):
+        if state.holder.refuse_unless_held(right.number, right.epoch):
             return False
         return _now_s() - began_s <= self._timing.reissue_window_s
 
     async def _promises(self, name: InstanceName, service: ServiceName, right: Right) -> bool:
-        ask = PromiseAsk(service, right.number, right.epoch)
-        reply = await self._network.ask(name, ask, Promise, _ASK_TIMEOUT_S)
+        ask = RequestPromise(service, right.number, right.epoch)
+        reply = await self._network.ask(name, ask, PromiseReply, _ASK_TIMEOUT_S)
         return isinstance(reply, Ok) and not reply.ok_value.holds
 
 
--- a/src/egretrail/trace/_egretrail.py
+++ b/src/egretrail/trace/_egretrail.py
@@ -127,7 +127,7 @@
 
     def may_run(self, digest: bytes, now_s: float) -> bool:
         """Return whether fewer upstreams than allowed were lost with the request."""
-        return self.suspects.may_touch_another(int.from_bytes(digest, "big"), now_s)
+        return self.suspects.permits_another_upstream(int.from_bytes(digest, "big"), now_s)
 
 
 class EgretrailPolicy(Policy):
@@ -166,18 +166,18 @@
 
     def started(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
         """Note an attempt that was sent."""
-        ticket = self._health.begin(upstream, str(work.cost_class), now_s)
+        ticket = self._health.record_start(upstream, str(work.cost_class), now_s)
         self._tickets[(work.work_id, upstream)] = ticket
-        self._weights.suspects.begin(int.from_bytes(work.digest, "big"), upstream)
+        self._weights.suspects.record_start(int.from_bytes(work.digest, "big"), upstream)
 
     def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
         """Take the end of an attempt as evidence, tell the peers, and go on."""
-        self._health.end(self._tickets.pop((work_id, attempt.upstream)))
+        self._health.record_end(self._tickets.pop((work_id, attempt.upstream)))
         suspects = self._weights.suspects
-        suspects.end(attempt.request_digest, attempt.upstream)
-        touched = suspects.touched(attempt.request_digest)
+        suspects.record_end(attempt.request_digest, attempt.upstream)
+        touched = suspects.lost_upstreams(attempt.request_digest)
         suspect = any(name != attempt.upstream for name in touched)
-        self._health.record(attempt, now_s, suspect)
+        self._health.record_outcome(attempt, now_s, suspect)
         self._tell_of_request(attempt, now_s)
         if attempt.outcome is AttemptOutcome.DRAINING:
             self._drains(attempt.upstream)
@@ -193,11 +193,11 @@
         """Take a message from another member."""
         match message:
             case Evidence():
-                self._health.merge(self._names[sender], message, now_s)
+                self._health.apply_evidence(self._names[sender], message, now_s)
             case RequestLoss():
                 self._note_loss(message.request_digest, message.upstream, False, now_s)
             case RequestAnswered():
-                self._weights.suspects.note_answer(message.request_digest)
+                self._weights.suspects.clear(message.request_digest)
             case DrainNotice():
                 self._drains(message.upstream)
             case DemandReport():
@@ -240,7 +240,7 @@
             self._peers.tell(RequestLoss(self._service, digest, attempt.upstream))
             return
         answered = attempt.outcome is AttemptOutcome.ANSWERED
-        if answered and self._weights.suspects.note_answer(digest):
+        if answered and self._weights.suspects.clear(digest):
             self._peers.tell(RequestAnswered(self._service, digest))
 
     def _note_loss(
@@ -248,10 +248,10 @@
     ) -> None:
         """Remember a loss; a second one shows that the request is to blame for the first."""
         suspects = self._weights.suspects
-        before = [name for name in suspects.touched(digest) if name != upstream]
-        suspects.note_loss(digest, upstream, now_s)
+        before = [name for name in suspects.lost_upstreams(digest) if name != upstream]
+        suspects.record_loss(digest, upstream, now_s)
         for name in before:
-            self._health.excuse(name, observed_here, now_s)
+            self._health.retract_loss(name, observed_here, now_s)
 
     def _drains(self, upstream: UpstreamName) -> None:
         self._weights.draining.add(upstream)
--- a/src/egretrail/upstream/__init__.py
+++ b/src/egretrail/upstream/__init__.py
@@ -8,10 +8,10 @@
 from egretrail.upstream._health import ServiceHealth
 from egretrail.upstream._rights import EjectionRights, NoRights, UnlimitedRights
 from egretrail.upstream._suspect_requests import (
+    FetchRequestLosses,
     RequestAnswered,
     RequestLoss,
     RequestLosses,
-    RequestLossesWanted,
     SuspectRequests,
 )
 from egretrail.upstream._verdict import Cause, UpstreamState, Verdict
@@ -22,11 +22,11 @@
     "Cause",
     "EjectionRights",
     "Evidence",
+    "FetchRequestLosses",
     "NoRights",
     "RequestAnswered",
     "RequestLoss",
     "RequestLosses",
-    "RequestLossesWanted",
     "ServiceHealth",
     "SuspectRequests",
     "UnlimitedRights",
--- a/src/egretrail/upstream/_health.py
+++ b/src/egretrail/upstream/_health.py
@@ -57,7 +57,7 @@
         self._sequence = 0
         self._peer_sequences: dict[InstanceName, int] = {}
 
-    def retune(self, detection: Detection, ramp_s: float) -> None:
+    def apply_settings(self, detection: Detection, ramp_s: float) -> None:
         """Apply changed settings; observations are kept."""
         self._thresholds = thresholds(detection)
         self._ramp_s = ramp_s
@@ -78,21 +78,21 @@
         self._by_id = {upstream.id: upstream for upstream in self._upstreams.values()}
         self._started = self._started or bool(names)
 
-    def begin(self, upstream: UpstreamName, request_kind: str, now_s: float) -> int:
+    def record_start(self, upstream: UpstreamName, request_kind: str, now_s: float) -> int:
         """Record the start of an attempt; return the ticket to pass when the attempt ends."""
         known = self._upstreams.get(upstream)
         if known is not None:
             known.observed.in_flight += 1
         return self._in_flight_attempts.start(upstream, request_kind, now_s)
 
-    def end(self, ticket: int) -> None:
+    def record_end(self, ticket: int) -> None:
         """Record that the attempt has ended; its outcome is recorded separately."""
         name = self._in_flight_attempts.finish(ticket)
         known = self._upstreams.get(name) if name is not None else None
         if known is not None:
             known.observed.in_flight = max(0, known.observed.in_flight - 1)
 
-    def record(self, attempt: Attempt, now_s: float, suspect: bool = False) -> None:
+    def record_outcome(self, attempt: Attempt, now_s: float, suspect: bool = False) -> None:
         """Record the outcome of a finished attempt.
 
         ``suspect`` tells that connections to upstreams were lost with the same request before.
@@ -107,7 +107,7 @@
         if upstream.observed.is_urgent(now_s):
             upstream.urgent = True
 
-    def excuse(self, upstream: UpstreamName, observed_here: bool, now_s: float) -> None:
+    def retract_loss(self, upstream: UpstreamName, observed_here: bool, now_s: float) -> None:
         """Retract a lost attempt: the request turned out to crash other upstreams as well."""
         known = self._upstreams.get(upstream)
         if known is not None:
@@ -116,7 +116,7 @@
             known.lifecycle.retract_ejection(now_s)
             known.lifecycle.start_crash_grace(now_s)
 
-    def merge(self, sender: InstanceName, evidence: Evidence, now_s: float) -> None:
+    def apply_evidence(self, sender: InstanceName, evidence: Evidence, now_s: float) -> None:
         """Apply another member's observations; those older than its last ones are ignored."""
         if evidence.sequence <= self._peer_sequences.get(sender, 0):
             return
@@ -126,7 +126,7 @@
             if upstream is not None:
                 self._merge_row(upstream, sender, row, now_s)
 
-    def forget_member(self, sender: InstanceName) -> None:
+    def remove_member(self, sender: InstanceName) -> None:
         """Remove the observations of a member that left the group or restarted."""
         self._peer_sequences.pop(sender, None)
         for upstream in self._upstreams.values():
--- a/src/egretrail/upstream/_suspect_requests.py
+++ b/src/egretrail/upstream/_suspect_requests.py
@@ -52,7 +52,7 @@
 
 @message("request-losses-wanted")
 @dataclass(frozen=True, slots=True)
-class RequestLossesWanted(Message):
+class FetchRequestLosses(Message):
     """Asks a member for the losses that it keeps for one service."""
 
     #: The service the losses belong to.
@@ -88,7 +88,7 @@
         self._losses: OrderedDict[int, list[_Loss]] = OrderedDict()
         self._in_flight: dict[int, Counter[UpstreamName]] = {}
 
-    def note_loss(
+    def record_loss(
         self,
         request_digest: int,
         upstream: UpstreamName,
@@ -107,7 +107,7 @@
             losses.append(_Loss(upstream, now_s))
         self._evict(now_s)
 
-    def note_answer(self, request_digest: int) -> bool:
+    def clear(self, request_digest: int) -> bool:
         """Clear a request that an upstream responded to; return whether the request was suspect.
 
         A popular request may lose upstreams for another reason, such as the outage of a rack or a
@@ -115,12 +115,12 @@
         """
         return self._losses.pop(request_digest, None) is not None
 
-    def touched(self, request_digest: int) -> Sequence[UpstreamName]:
+    def lost_upstreams(self, request_digest: int) -> Sequence[UpstreamName]:
         """Return the distinct upstreams lost with the request, in order of their first loss."""
         losses = self._losses.get(request_digest, ())
         return list(dict.fromkeys(loss.upstream for loss in losses))
 
-    def may_touch_another(self, request_digest: int, now_s: float) -> bool:
+    def permits_another_upstream(self, request_digest: int, now_s: float) -> bool:
         """Return whether the request may be sent to one more upstream.
 
         Copies of a suspect request that are in flight count as losses: otherwise parallel retries
@@ -133,11 +133,11 @@
         at_risk = len(self._in_flight.get(request_digest, ()))
         return len(losses) + at_risk < self.upstreams_per_request
 
-    def begin(self, request_digest: int, upstream: UpstreamName) -> None:
+    def record_start(self, request_digest: int, upstream: UpstreamName) -> None:
         """Count a copy of the request as in flight."""
         self._in_flight.setdefault(request_digest, Counter())[upstream] += 1
 
-    def end(self, request_digest: int, upstream: UpstreamName) -> None:
+    def record_end(self, request_digest: int, upstream: UpstreamName) -> None:
         """Stop counting a copy of the request as in flight, whatever its outcome."""
         copies = self._in_flight.get(request_digest)
         if copies is None:
--- a/src/egretrail/upstream/tests/_cost.py
+++ b/src/egretrail/upstream/tests/_cost.py
@@ -38,9 +38,9 @@
         caller = CallerId(f"c{digest % 50}")
         attempt = Attempt(name, outcome, latency_s, now_s, digest, "GET", caller)
         start_s = time.process_time()
-        ticket = health.begin(name, "GET", now_s)
-        health.end(ticket)
-        health.record(attempt, now_s)
+        ticket = health.record_start(name, "GET", now_s)
+        health.record_end(ticket)
+        health.record_outcome(attempt, now_s)
         spent_s += time.process_time() - start_s
     return spent_s / _ATTEMPTS
 
@@ -55,7 +55,7 @@
 def _merge(
     health: ServiceHealth, senders: Iterator[InstanceName], evidence: Evidence, now_s: float
 ) -> None:
-    health.merge(next(senders), evidence, now_s)
+    health.apply_evidence(next(senders), evidence, now_s)
 
 
 def main() -> None:
--- a/src/egretrail/upstream/tests/_simulation.py
+++ b/src/egretrail/upstream/tests/_simulation.py
@@ -161,14 +161,14 @@
         else:
             free_s[slot] = end_s
         health = self.outcome.health[request.member]
-        ticket = health.begin(self.names[request.upstream], request.kind, request.at_s)
+        ticket = health.record_start(self.names[request.upstream], request.kind, request.at_s)
         self.outcome.sent.setdefault(request.upstream, []).append(request.at_s)
         self._at(end_s, lambda now_s: self._end(request, ticket, now_s))
 
     def _end(self, request: Request, ticket: int, now_s: float) -> None:
         health = self.outcome.health[request.member]
         self.outcome.outcomes[request.outcome] += 1
-        health.end(ticket)
+        health.record_end(ticket)
         attempt = Attempt(
             self.names[request.upstream],
             request.outcome,
@@ -179,7 +179,7 @@
             CallerId(request.caller),
             request.size_bytes,
         )
-        health.record(attempt, now_s)
+        health.record_outcome(attempt, now_s)
         self._record_ejection(request.member, request.upstream, now_s)
         self._exchange_urgent(request.member, now_s)
 
@@ -210,7 +210,7 @@
 
     def _merge(self, sender: int, to: int, evidence: object, now_s: float) -> None:
         health = self.outcome.health[to]
-        health.merge(InstanceName(f"m{sender}"), evidence, now_s)  # type: ignore[arg-type]
+        health.apply_evidence(InstanceName(f"m{sender}"), evidence, now_s)  # type: ignore[arg-type]
         self._record_ejections(to, now_s)
 
     def _record_ejections(self, member: int, now_s: float) -> None:
--- a/src/egretrail/upstream/tests/test_lifecycle.py
+++ b/src/egretrail/upstream/tests/test_lifecycle.py
@@ -52,7 +52,7 @@
         self._digest += 1
         self.now_s += 0.02
         caller = caller or CallerId(f"c{self._digest % 40}")
-        self.health.record(
+        self.health.record_outcome(
             Attempt(upstream, outcome, 0.01, self.now_s - 0.01, self._digest, "GET", caller),
             self.now_s,
             suspect,
@@ -117,7 +117,7 @@
             _BAD, AttemptOutcome.FAILED, 9.0, driver.now_s - 1.0, 1, "GET", CallerId("late")
         )
         driver.wait_until(UpstreamState.TRIAL)
-        driver.health.record(late, driver.now_s)
+        driver.health.record_outcome(late, driver.now_s)
         self.assertIs(UpstreamState.TRIAL, driver.state)
 
     def test_the_ejection_ends_when_its_right_is_no_longer_valid(self) -> None:
@@ -132,12 +132,12 @@
         driver = self._ejected()
         other = _HealthDriver()
         evidence = driver.health.own_evidence(driver.now_s)
-        other.health.merge(InstanceName("m1"), evidence, 0.0)
+        other.health.apply_evidence(InstanceName("m1"), evidence, 0.0)
         self.assertIs(UpstreamState.EJECTED, other.state)
         self.assertEqual(Cause.PEER, other.health.verdict(_BAD, 0.0).cause)
         other.wait_until(UpstreamState.TRIAL)
         again = driver.health.own_evidence(driver.now_s)
-        other.health.merge(InstanceName("m1"), again, other.now_s)
+        other.health.apply_evidence(InstanceName("m1"), again, other.now_s)
         self.assertIs(UpstreamState.TRIAL, other.state)
 
     def test_a_new_upstream_ramps(self) -> None:
@@ -182,7 +182,7 @@
 
     def test_an_upstream_returns_at_once_when_its_loss_is_retracted(self) -> None:
         driver = self._ejected()
-        driver.health.excuse(_BAD, observed_here=True, now_s=driver.now_s)
+        driver.health.retract_loss(_BAD, observed_here=True, now_s=driver.now_s)
         verdict = driver.health.verdict(_BAD, driver.now_s)
         self.assertEqual(Cause.CRASHED_BY_REQUEST, verdict.cause)
         self.assertTrue(verdict.in_service)
--- a/src/egretrail/upstream/tests/test_settings_change.py
+++ b/src/egretrail/upstream/tests/test_settings_change.py
@@ -18,7 +18,7 @@
         failing = upstream == _NAMES[0] and number >= 120
         outcome = AttemptOutcome.FAILED if failing else AttemptOutcome.ANSWERED
         attempt = Attempt(upstream, outcome, 0.01, now_s, number, "GET", CallerId("c"))
-        health.record(attempt, now_s)
+        health.record_outcome(attempt, now_s)
         if not health.verdict(_NAMES[0], now_s).in_service:
             return (number - 120) // 6 + 1
     return 0
@@ -34,6 +34,6 @@
         patient = _failures_until_ejected(_health(Detection.PATIENT))
         prompt = _failures_until_ejected(_health(Detection.PROMPT))
         retuned = _health(Detection.PATIENT)
-        retuned.retune(Detection.PROMPT, 0.0)
+        retuned.apply_settings(Detection.PROMPT, 0.0)
         self.assertLess(prompt, patient)
         self.assertEqual(prompt, _failures_until_ejected(retuned))
