--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -42,7 +42,7 @@
         """Return the upstreams."""
         return list(self._candidates)
 
-    def position(self) -> GroupPosition:
+    def group_position(self) -> GroupPosition:
         """Return one member of a group with 16 slots for each, as groups are made."""
         return GroupPosition(1, max(3, len(self._candidates) * _SLOTS // 16))
 
@@ -66,7 +66,9 @@
         now_s = number * 0.001
         (action,) = scheduler.submit(_work(number, now_s), now_s)
         assert isinstance(action, Dispatch)
-        scheduler.finished(action.work_id, action.upstream, AttemptResult.ANSWERED, now_s + 0.0005)
+        scheduler.record_attempt_end(
+            action.work_id, action.upstream, AttemptResult.ANSWERED, now_s + 0.0005
+        )
 
 
 def _admitting(count: int) -> None:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -110,7 +110,7 @@
 def _table(size: int) -> MembershipTable:
     tuning = MembershipTuning()
     table = MembershipTable(_member(0), tuning, Slowness(tuning))
-    table.seed([_member(number) for number in range(1, size)], 0.0)
+    table.apply_list([_member(number) for number in range(1, size)], 0.0)
     return table
 
 
@@ -121,7 +121,7 @@
         catalogue.apply(SettingChange(f"{team}/services/shop", 2 * number + 1, "c" * 16, _SERVICE))
         text = _ROUTE.replace("{n}", str(number))
         catalogue.apply(SettingChange(f"{team}/routes/shop", 2 * number + 2, "c" * 16, text))
-    return catalogue, RouteTable.of(catalogue.in_force.settings())
+    return catalogue, RouteTable.from_settings(catalogue.in_force.settings())
 
 
 def _health(upstreams: int) -> ServiceHealth:
--- a/src/egretrail/daemon/_execution.py
+++ b/src/egretrail/daemon/_execution.py
@@ -143,7 +143,7 @@
             self._perform(state, state.scheduler.submit(work, now_s))
             return await running.answer
         except asyncio.CancelledError:
-            self._perform(state, state.scheduler.cancelled(work_id, loop.time()))
+            self._perform(state, state.scheduler.cancel(work_id, loop.time()))
             raise
         finally:
             del self._running[work_id]
@@ -196,7 +196,7 @@
             await self._evidence.finish(state.name, ticket, attempt)
             if result.outcome is not AttemptOutcome.ANSWERED:
                 state.trouble()
-            ended = state.scheduler.finished(
+            ended = state.scheduler.record_attempt_end(
                 work_id, upstream, ATTEMPT_RESULTS[result.outcome], loop.time()
             )
             self._perform(state, ended)
--- a/src/egretrail/daemon/_service_state.py
+++ b/src/egretrail/daemon/_service_state.py
@@ -34,7 +34,7 @@
         """Return the upstreams that may be given work now, in a stable order."""
         return self._state.candidates(now_s)
 
-    def position(self) -> GroupPosition:
+    def group_position(self) -> GroupPosition:
         """Return this member's place among those that serve the service."""
         return self._state.demand.position(self._state.name)
 
@@ -42,7 +42,7 @@
         """Return how many slots each other member of the group could use, as last reported."""
         return self._state.demand.peer_demands(self._state.name, now_s)
 
-    def may_run(self, digest: bytes, now_s: float) -> bool:
+    def permits_another_upstream(self, digest: bytes, now_s: float) -> bool:
         """Return whether a request may be given to one more upstream; suspected ones may not."""
         return self._state.suspects.permits_another_upstream(short_digest(digest), now_s)
 
@@ -116,7 +116,7 @@
                         name=name,
                         availability_zone=row.availability_zone,
                         weight=verdict.weight,
-                        trial=verdict.state is UpstreamState.TRIAL,
+                        is_on_trial=verdict.state is UpstreamState.TRIAL,
                         slots=self.settings.slots,
                         peer_in_flight=self._evidence.peer_in_flight(self.name, name),
                     )
--- a/src/egretrail/fleet/__init__.py
+++ b/src/egretrail/fleet/__init__.py
@@ -8,30 +8,31 @@
     Pong,
     Rumour,
     RumourState,
-    SyncAsk,
     SyncReply,
+    SyncRequest,
 )
 from egretrail.fleet._probing import ProbePlan
 from egretrail.fleet._slowness import Slowness
-from egretrail.fleet._table import UNHEARD, MembershipTable
+from egretrail.fleet._table import UNKNOWN_INCARNATION, MembershipTable
 from egretrail.fleet._tuning import MembershipTuning
 from egretrail.fleet._upstreams import (
-    DrainsAsk,
     DrainSign,
     DrainSigns,
+    FetchDrainSigns,
+    FetchListedUpstreams,
     ListedUpstreams,
     UpstreamDirectory,
     UpstreamListing,
     UpstreamRow,
-    UpstreamsAsk,
 )
 from egretrail.fleet._view import FleetView, Member, MemberState
 
 __all__ = [
-    "UNHEARD",
+    "UNKNOWN_INCARNATION",
     "DrainSign",
     "DrainSigns",
-    "DrainsAsk",
+    "FetchDrainSigns",
+    "FetchListedUpstreams",
     "FleetView",
     "GroupIndex",
     "IndirectPing",
@@ -47,11 +48,10 @@
     "Rumour",
     "RumourState",
     "Slowness",
-    "SyncAsk",
     "SyncReply",
+    "SyncRequest",
     "UpstreamDirectory",
     "UpstreamListing",
     "UpstreamRow",
-    "UpstreamsAsk",
     "group_size",
 ]
--- a/src/egretrail/fleet/_messages.py
+++ b/src/egretrail/fleet/_messages.py
@@ -98,7 +98,7 @@
 
 @message("fleet.sync-ask")
 @dataclass(frozen=True, slots=True)
-class SyncAsk(Message):
+class SyncRequest(Message):
     """Starts an anti-entropy comparison of two tables; answered by ``SyncReply``."""
 
     #: One digest for each bucket of names.
--- a/src/egretrail/fleet/_probing.py
+++ b/src/egretrail/fleet/_probing.py
@@ -31,7 +31,7 @@
         self._scores = scores
         return heapq.nlargest(self._set_size, scores, key=scores.__getitem__)
 
-    def next(self, peers: Sequence[InstanceName]) -> InstanceName | None:
+    def next_target(self, peers: Sequence[InstanceName]) -> InstanceName | None:
         """Return the next peer to probe, None if there is no other instance."""
         known = set(peers)
         while self._round:
--- a/src/egretrail/fleet/_rumours.py
+++ b/src/egretrail/fleet/_rumours.py
@@ -32,7 +32,7 @@
         self._sent[rumour.instance] = 0
         self._arrival[rumour.instance] = next(self._order)
 
-    def take(self, limit: int, retransmissions: int) -> Sequence[Rumour]:
+    def next_batch(self, limit: int, retransmissions: int) -> Sequence[Rumour]:
         """Return the rumours for one message, and count one more transmission of each."""
         chosen = heapq.nsmallest(limit, self._queued, key=self._rank)
         rumours = [self._queued[name] for name in chosen]
--- a/src/egretrail/fleet/_slowness.py
+++ b/src/egretrail/fleet/_slowness.py
@@ -21,10 +21,10 @@
         """Return the factor for timeouts, 1 if this instance is healthy."""
         return self._score + 1
 
-    def answered(self) -> None:
+    def record_response(self) -> None:
         """Count a probe that was answered in time."""
         self._score = max(0, self._score - 1)
 
-    def missed(self, weight: int = 1) -> None:
+    def record_miss(self, weight: int = 1) -> None:
         """Count missed responses to own probes, or a suspicion of this instance by others."""
         self._score = min(self._limit - 1, self._score + weight)
--- a/src/egretrail/fleet/_table.py
+++ b/src/egretrail/fleet/_table.py
@@ -17,7 +17,7 @@
 from egretrail.identity import Incarnation, InstanceName
 
 #: Incarnation number of a listed instance from which no message has been received.
-UNHEARD = 0
+UNKNOWN_INCARNATION = 0
 _BUCKETS: Final = 32
 #: Unknown processes of which the first query is recorded; eviction only delays the verdict.
 _ASKED_LIMIT: Final = 4096
@@ -63,7 +63,7 @@
         self._absence = AbsenceTracker(tuning)
         self._started_s: float | None = None
         #: Rumours to disseminate.
-        self.queue = RumourQueue()
+        self.rumour_queue = RumourQueue()
         #: Incremented on every change that is visible in ``members``.
         self.changes = 0
 
@@ -119,12 +119,12 @@
         )
         self._announce(self._own)
 
-    def absorb(self, rumour: Rumour, now_s: float) -> None:
+    def merge_rumour(self, rumour: Rumour, now_s: float) -> None:
         """Merge one rumour, and disseminate it if it contains new information."""
         if rumour.instance == self._own.instance:
             self._refute_suspicion(rumour, now_s)
             return
-        if rumour.number <= self._tombstones.get(rumour.instance, (UNHEARD, 0.0))[0]:
+        if rumour.number <= self._tombstones.get(rumour.instance, (UNKNOWN_INCARNATION, 0.0))[0]:
             return
         record = self._records.get(rumour.instance)
         if record is None or rumour.number > record.rumour.number:
@@ -132,9 +132,9 @@
         elif rumour.number == record.rumour.number:
             self._merge(record, rumour, now_s)
 
-    def heard(self, sender: Rumour, now_s: float) -> None:
+    def record_contact(self, sender: Rumour, now_s: float) -> None:
         """Merge the rumour of a process about itself, received directly from it."""
-        self.absorb(sender, now_s)
+        self.merge_rumour(sender, now_s)
         record = self._records.get(sender.instance)
         if record is not None and record.rumour.number == sender.number:
             record.last_contact_s = now_s
@@ -144,14 +144,14 @@
         record = self._records.get(name)
         if record is None or record.rumour.state in _FINAL:
             return
-        if record.rumour.number == UNHEARD:
+        if record.rumour.number == UNKNOWN_INCARNATION:
             return
         accusation = replace(
             record.rumour, state=RumourState.SUSPECT, accuser=str(self._own.instance)
         )
         self._merge(record, accusation, now_s)
 
-    def seed(self, members: Iterable[Member], now_s: float) -> None:
+    def apply_list(self, members: Iterable[Member], now_s: float) -> None:
         """Apply one reading of the platform's list of the fleet's instances."""
         rows = {member.name: member for member in members}
         self._absence.record_reading(rows, now_s)
@@ -159,7 +159,9 @@
             if name == self._own.instance:
                 continue
             if name not in self._records:
-                listed = replace(rumour_of(replace(member, ready=False)), number=UNHEARD)
+                listed = replace(
+                    rumour_of(replace(member, ready=False)), number=UNKNOWN_INCARNATION
+                )
                 self._records[name] = Record(listed, now_s, now_s)
                 self.changes += 1
             self._note_listed_state(self._records[name], member.state, now_s)
@@ -186,7 +188,7 @@
         Proof is its own ``ENDED`` report, a later process of the same instance, or a sufficiently
         long absence from the platform's list. Unreachability is never proof.
         """
-        if process.number <= self._tombstones.get(process.instance, (UNHEARD, 0.0))[0]:
+        if process.number <= self._tombstones.get(process.instance, (UNKNOWN_INCARNATION, 0.0))[0]:
             return True
         if process.instance == self._own.instance:
             return process.number < self._own.number
@@ -224,7 +226,9 @@
         own[_bucket(self._own.instance)] ^= _digest(self._own)
         return own
 
-    def differing(self, digests: Sequence[int], limit: int, rng: random.Random) -> Sequence[Rumour]:
+    def differing_rumours(
+        self, digests: Sequence[int], limit: int, rng: random.Random
+    ) -> Sequence[Rumour]:
         """Return at most ``limit`` rumours of the buckets in which the table of a peer differs."""
         mine = self.digests()
         if len(digests) != len(mine):
@@ -234,7 +238,7 @@
         found = [
             rumour
             for rumour in known
-            if rumour.number != UNHEARD and _bucket(rumour.instance) in differing
+            if rumour.number != UNKNOWN_INCARNATION and _bucket(rumour.instance) in differing
         ]
         return found if len(found) <= limit else rng.sample(found, limit)
 
@@ -242,7 +246,7 @@
         """Apply a row's "leaving" mark unless it may be a stale row of an earlier process."""
         leaving = listed is MemberState.LEAVING
         recent = now_s - record.known_since_s <= self._tuning.list_lag_s
-        if leaving and recent and record.rumour.number != UNHEARD:
+        if leaving and recent and record.rumour.number != UNKNOWN_INCARNATION:
             return
         if leaving != record.listed_leaving:
             record.listed_leaving = leaving
@@ -253,7 +257,7 @@
             return
         accused = rumour.state in (RumourState.SUSPECT, RumourState.UNREACHABLE)
         if accused and rumour.version >= self._own.version:
-            self._slowness.missed()
+            self._slowness.record_miss()
             self._own = replace(self._own, version=rumour.version + 1)
             self._announce(self._own)
 
@@ -262,7 +266,7 @@
         fresh = Record(rumour, now_s, now_s)
         if record is not None:
             self._toggle_digest(record.rumour)
-            if record.rumour.number != UNHEARD and record.rumour.state not in _FINAL:
+            if record.rumour.number != UNKNOWN_INCARNATION and record.rumour.state not in _FINAL:
                 fresh.returns = record.returns
                 self._hold_back(fresh, now_s)
         if rumour.state is RumourState.SUSPECT:
@@ -296,7 +300,7 @@
             return
         if len(record.accusers) <= self._tuning.confirmations:
             record.accusers.add(rumour.accuser)
-            self.queue.add(rumour)
+            self.rumour_queue.add(rumour)
 
     def _hold_back(self, record: Record, now_s: float) -> None:
         """Exclude a member that returned from groups for a while, longer at each return.
@@ -333,12 +337,12 @@
 
     def _is_proved_gone(self, record: Record) -> bool:
         name = record.rumour.instance
-        if record.rumour.number == UNHEARD:
+        if record.rumour.number == UNKNOWN_INCARNATION:
             return self._absence.absent_for_s(name, float("-inf"), record.last_contact_s) > 0.0
         return self._absence.is_gone(name, record.known_since_s, record.last_contact_s)
 
     def _remove_with_tombstone(self, name: InstanceName, record: Record, now_s: float) -> None:
-        if record.rumour.number != UNHEARD:
+        if record.rumour.number != UNKNOWN_INCARNATION:
             until_s = now_s + self._tuning.tombstone_s
             self._tombstones[name] = (record.rumour.number, until_s)
         self._toggle_digest(record.rumour)
@@ -346,11 +350,11 @@
         self.changes += 1
 
     def _announce(self, rumour: Rumour) -> None:
-        self.queue.add(rumour)
+        self.rumour_queue.add(rumour)
         self.changes += 1
 
     def _toggle_digest(self, rumour: Rumour) -> None:
-        if rumour.number != UNHEARD:
+        if rumour.number != UNKNOWN_INCARNATION:
             self._digests[_bucket(rumour.instance)] ^= _digest(rumour)
 
 
--- a/src/egretrail/fleet/_upstreams.py
+++ b/src/egretrail/fleet/_upstreams.py
@@ -67,7 +67,7 @@
 
 @message("fleet.upstreams-ask")
 @dataclass(frozen=True, slots=True)
-class UpstreamsAsk(Message):
+class FetchListedUpstreams(Message):
     """Requests the rows of one service from a reader of the list.
 
     Answered by ``ListedUpstreams``.
@@ -92,7 +92,7 @@
 
 @message("fleet.drains-ask")
 @dataclass(frozen=True, slots=True)
-class DrainsAsk(Message):
+class FetchDrainSigns(Message):
     """Requests the drain signs of a service from a member of its group.
 
     Answered by ``DrainSigns``.
@@ -200,7 +200,7 @@
         """Return the services with an entry in this directory."""
         return list(self._services)
 
-    def read(
+    def apply_rows(
         self, service: ServiceName, rows: Iterable[UpstreamRow], read_s: float, now_s: float
     ) -> None:
         """Apply all rows of one service, read from the list at ``read_s``."""
@@ -210,7 +210,7 @@
         if known.apply_rows(rows, read_s, now_s):
             self.changes += 1
 
-    def note_drain(self, service: ServiceName, upstream: UpstreamName, now_s: float) -> bool:
+    def record_drain(self, service: ServiceName, upstream: UpstreamName, now_s: float) -> bool:
         """Record the upstream's own report that it drains; return whether the sign is new."""
         known = self._services.get(service)
         row = known.rows.get(upstream) if known is not None else None
@@ -219,7 +219,7 @@
         self.changes += 1
         return known.add_sign(row.registration, now_s, listed=False)
 
-    def absorb(self, service: ServiceName, signs: Iterable[DrainSign], now_s: float) -> None:
+    def merge_signs(self, service: ServiceName, signs: Iterable[DrainSign], now_s: float) -> None:
         """Merge the drain signs reported by a peer."""
         if not self._serves(service):
             return
@@ -230,7 +230,7 @@
                 known.add_sign(key, now_s - max(0.0, sign.age_s), sign.listed)
         self.changes += 1
 
-    def signs(self, service: ServiceName, now_s: float) -> Sequence[DrainSign]:
+    def drain_signs(self, service: ServiceName, now_s: float) -> Sequence[DrainSign]:
         """Return the drain signs of a service, for sending to a peer."""
         known = self._services.get(service)
         if known is None:
--- a/src/egretrail/fleet/tests/test_table.py
+++ b/src/egretrail/fleet/tests/test_table.py
@@ -17,13 +17,13 @@
         started = Incarnation(InstanceName("other"), 2)
         for now_s in range(0, 1000, 10):
             table.tick(now_s)
-            table.seed([_member("own")], now_s)
+            table.apply_list([_member("own")], now_s)
         # The name has long been absent, but the process may have just started.
         self.assertTrue(table.is_name_gone(started.instance, 1000))
         self.assertFalse(table.is_gone(started, 1000))
         for now_s in range(1000, 1095, 10):
-            table.seed([_member("own")], now_s)
+            table.apply_list([_member("own")], now_s)
             gone = table.is_gone(started, now_s)
             self.assertFalse(gone)
-        table.seed([_member("own")], 1095)
+        table.apply_list([_member("own")], 1095)
         self.assertTrue(table.is_gone(started, 1095))
--- a/src/egretrail/fleet/tests/test_upstreams.py
+++ b/src/egretrail/fleet/tests/test_upstreams.py
@@ -37,38 +37,38 @@
     ) -> None:
         readings, expected = row
         directory = UpstreamDirectory(lambda _: True)
-        directory.read(_SERVICE, [_row()], 0.0, 0.0)
+        directory.apply_rows(_SERVICE, [_row()], 0.0, 0.0)
         self.assertEqual(1, len(directory.upstreams(_SERVICE)))
-        self.assertTrue(directory.note_drain(_SERVICE, _UPSTREAM, 0.0))
+        self.assertTrue(directory.record_drain(_SERVICE, _UPSTREAM, 0.0))
         self.assertEqual([], list(directory.upstreams(_SERVICE)))
         for at_s, rows in readings:
-            directory.read(_SERVICE, rows, at_s, at_s)
+            directory.apply_rows(_SERVICE, rows, at_s, at_s)
             directory.tick(at_s)
         self.assertIs(expected, directory.listings(_SERVICE)[_UPSTREAM])
 
     def test_an_older_reading_is_ignored(self) -> None:
         directory = UpstreamDirectory(lambda _: True)
-        directory.read(_SERVICE, [], 10.0, 10.0)
-        directory.read(_SERVICE, [_row()], 5.0, 11.0)
+        directory.apply_rows(_SERVICE, [], 10.0, 10.0)
+        directory.apply_rows(_SERVICE, [_row()], 5.0, 11.0)
         self.assertEqual([], list(directory.upstreams(_SERVICE)))
 
     def test_a_row_marked_as_leaving_counts_as_a_drain_sign(self) -> None:
         directory = UpstreamDirectory(lambda _: True)
-        directory.read(_SERVICE, [_row(leaving=True)], 0.0, 0.0)
-        directory.read(_SERVICE, [_row()], 1.0, 1.0)
+        directory.apply_rows(_SERVICE, [_row(leaving=True)], 0.0, 0.0)
+        directory.apply_rows(_SERVICE, [_row()], 1.0, 1.0)
         self.assertIs(UpstreamListing.LEAVING, directory.listings(_SERVICE)[_UPSTREAM])
 
     def test_merged_signs_keep_their_age(self) -> None:
         here, there = UpstreamDirectory(lambda _: True), UpstreamDirectory(lambda _: True)
         for directory in (here, there):
-            directory.read(_SERVICE, [_row()], 0.0, 0.0)
-        here.note_drain(_SERVICE, _UPSTREAM, 0.0)
-        there.absorb(_SERVICE, here.signs(_SERVICE, 500.0), 500.0)
+            directory.apply_rows(_SERVICE, [_row()], 0.0, 0.0)
+        here.record_drain(_SERVICE, _UPSTREAM, 0.0)
+        there.merge_signs(_SERVICE, here.drain_signs(_SERVICE, 500.0), 500.0)
         self.assertEqual([], list(there.upstreams(_SERVICE)))
         there.tick(601.0)
         self.assertEqual(1, len(there.upstreams(_SERVICE)))
 
     def test_only_rows_of_served_services_are_kept(self) -> None:
         directory = UpstreamDirectory(lambda service: service == _SERVICE)
-        directory.read(ServiceName("varaus"), [_row()], 0.0, 0.0)
+        directory.apply_rows(ServiceName("varaus"), [_row()], 0.0, 0.0)
         self.assertEqual([], list(directory.services()))
--- a/src/egretrail/route/__init__.py
+++ b/src/egretrail/route/__init__.py
@@ -1,6 +1,6 @@
 """Matching of requests to routes."""
 
-from egretrail.route._acceptance import acceptance_faults, standing_conflicts
+from egretrail.route._acceptance import acceptance_faults, existing_conflicts
 from egretrail.route._path import PathFault, UnsafePath, normalised_host, path_segments
 from egretrail.route._table import RouteMatch, RouteTable
 
@@ -10,7 +10,7 @@
     "RouteTable",
     "UnsafePath",
     "acceptance_faults",
+    "existing_conflicts",
     "normalised_host",
     "path_segments",
-    "standing_conflicts",
 ]
--- a/src/egretrail/route/_acceptance.py
+++ b/src/egretrail/route/_acceptance.py
@@ -56,11 +56,13 @@
     if isinstance(parsed, Err):
         return [SettingsFault("path_prefix", str(parsed.err_value))]
     own = RouteName(path.qualified_name)
-    others = [name for name in table.holders(route.host, route.path_prefix) if name != own]
+    others = [
+        name for name in table.routes_with_prefix(route.host, route.path_prefix) if name != own
+    ]
     return [SettingsFault("path_prefix", f"{name} has this host and prefix") for name in others]
 
 
-def standing_conflicts(settings: FleetSettings, team: str | None = None) -> Sequence[SettingsFault]:
+def existing_conflicts(settings: FleetSettings, team: str | None = None) -> Sequence[SettingsFault]:
     """Return a fault for each route in force whose service does not exist, of one team or of all.
 
     Such a route results only from the deletion of a service and the creation of a route to it that
--- a/src/egretrail/route/_table.py
+++ b/src/egretrail/route/_table.py
@@ -70,7 +70,7 @@
         self._routes: dict[RouteName, RouteSettings] = {}
 
     @staticmethod
-    def of(settings: FleetSettings) -> "RouteTable":
+    def from_settings(settings: FleetSettings) -> "RouteTable":
         """Build the table from all routes of the settings."""
         table = RouteTable()
         for name, route in settings.routes.items():
@@ -101,7 +101,7 @@
             if not self._hosts[host].routes_by_prefix:
                 del self._hosts[host]
 
-    def holders(self, host: str, prefix: str) -> Sequence[RouteName]:
+    def routes_with_prefix(self, host: str, prefix: str) -> Sequence[RouteName]:
         """Return the routes with exactly this host and prefix."""
         routes = self._hosts.get(normalised_host(host))
         key = _prefix_key(prefix)
--- a/src/egretrail/route/tests/test_acceptance.py
+++ b/src/egretrail/route/tests/test_acceptance.py
@@ -1,7 +1,7 @@
 """Conflicts of settings changes with the settings in force."""
 
 from egretrail.identity import RouteName, ServiceName
-from egretrail.route import RouteTable, acceptance_faults, standing_conflicts
+from egretrail.route import RouteTable, acceptance_faults, existing_conflicts
 from egretrail.settings import FleetSettings, RouteSettings, ServiceSettings, SettingPath
 from egretrail.testing import EgretrailTestCase, cases
 
@@ -38,11 +38,11 @@
     ) -> None:
         path, value, expected = row
         parsed = SettingPath.parse(path).unwrap()
-        faults = acceptance_faults(parsed, value, _SETTINGS, RouteTable.of(_SETTINGS))
+        faults = acceptance_faults(parsed, value, _SETTINGS, RouteTable.from_settings(_SETTINGS))
         self.assertEqual(expected, len(faults), str(faults))
 
     def test_a_route_without_its_service_is_reported(self) -> None:
         settings = FleetSettings({}, _SETTINGS.routes)
-        self.assertEqual(["a/routes/r"], [fault.key for fault in standing_conflicts(settings)])
-        self.assertEqual([], standing_conflicts(settings, "b"))
-        self.assertEqual([], standing_conflicts(_SETTINGS))
+        self.assertEqual(["a/routes/r"], [fault.key for fault in existing_conflicts(settings)])
+        self.assertEqual([], existing_conflicts(settings, "b"))
+        self.assertEqual([], existing_conflicts(_SETTINGS))
--- a/src/egretrail/route/tests/test_table.py
+++ b/src/egretrail/route/tests/test_table.py
@@ -23,7 +23,7 @@
 
 def _table() -> RouteTable:
     routes = {RouteName(name): route for name, route in _ROUTES.items()}
-    return RouteTable.of(FleetSettings({}, routes))
+    return RouteTable.from_settings(FleetSettings({}, routes))
 
 
 class MatchTest(EgretrailTestCase):
--- a/src/egretrail/runtime/_demand.py
+++ b/src/egretrail/runtime/_demand.py
@@ -66,7 +66,7 @@
             self._peers.pop(gone, None)
         for service, demand in demands.items():
             reporter = self._reporters.setdefault(service, DemandReporter(service))
-            report = reporter.due(demand, now_s)
+            report = reporter.next_report(demand, now_s)
             if report is not None:
                 self._send(report)
 
@@ -79,5 +79,5 @@
     async def _on_report(self, sender: Incarnation, report: DemandReport) -> Message | None:
         now_s = asyncio.get_running_loop().time()
         held = self._peers.setdefault(report.service, PeerDemands())
-        held.note(sender.instance, report, now_s)
+        held.record_report(sender.instance, report, now_s)
         return None
--- a/src/egretrail/runtime/_membership.py
+++ b/src/egretrail/runtime/_membership.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 
 from egretrail.fleet import (
-    UNHEARD,
+    UNKNOWN_INCARNATION,
     FleetView,
     GroupIndex,
     IndirectPing,
@@ -24,8 +24,8 @@
     Rumour,
     RumourState,
     Slowness,
-    SyncAsk,
     SyncReply,
+    SyncRequest,
 )
 from egretrail.identity import AvailabilityZone, Incarnation, InstanceName, ServiceName
 from egretrail.peer import PeerNetwork
@@ -88,7 +88,7 @@
         """Read the list, greet a few instances on it, and begin the heartbeats."""
         self._network.on(Ping, self._on_ping)
         self._network.on(IndirectPing, self._on_indirect_ping)
-        self._network.on(SyncAsk, self._on_sync_ask)
+        self._network.on(SyncRequest, self._on_sync_ask)
         await self.read_list()
         await self._greet()
         self._spawn(self._probe_forever())
@@ -224,19 +224,19 @@
             interval_s = self._tuning.probe_interval_s * self._slowness.factor
             await asyncio.sleep(interval_s * self._rng.uniform(0.9, 1.1))
             self._table.tick(_now_s())
-            target = self._plan.next(self._table.peers())
+            target = self._plan.next_target(self._table.peers())
             if target is not None:
                 self._spawn(self._probe(target))
 
     async def _probe(self, target: InstanceName) -> None:
         timeout_s = self._tuning.probe_timeout_s * self._slowness.factor
         if await self._ping(target, timeout_s):
-            self._slowness.answered()
+            self._slowness.record_response()
             self._path_faults.pop(target, None)
             return
         self._path_faults[target] = _now_s() + _PATH_FAULT_S
         known = self._table.rumour(target)
-        if known is None or known.number == UNHEARD:
+        if known is None or known.number == UNKNOWN_INCARNATION:
             return
         helpers = self._plan.helpers(self._table.peers(), target, self._tuning.indirect_probes)
         ask = IndirectPing(target, known)
@@ -245,10 +245,10 @@
             *(self._network.ask(helper, ask, IndirectPong, wait_s) for helper in helpers)
         )
         answered = [reply.ok_value for reply in replies if isinstance(reply, Ok)]
-        self._slowness.missed(1 if helpers and not answered else 0)
+        self._slowness.record_miss(1 if helpers and not answered else 0)
         reached = [reply.answer for reply in answered if reply.answer is not None]
         for word in reached:
-            self._table.heard(word, _now_s())
+            self._table.record_contact(word, _now_s())
         # When not even the helpers answer, this instance is the likelier cause.
         if not reached and (answered or not helpers):
             self._table.suspect(target, _now_s())
@@ -258,14 +258,16 @@
         answer = await self._network.ask(target, ping, Pong, timeout_s)
         if isinstance(answer, Err):
             return False
-        self._table.heard(answer.ok_value.sender, _now_s())
+        self._table.record_contact(answer.ok_value.sender, _now_s())
         self._absorb(answer.ok_value.rumours)
         return True
 
     def _rumours_for(self, peer: InstanceName) -> Sequence[Rumour]:
         """Return what rides on a message; a suspected receiver is told so first."""
         retransmissions = self._tuning.retransmit_factor * self._tuning.digits(self._table.size)
-        rumours = self._table.queue.take(self._tuning.rumours_per_message, retransmissions)
+        rumours = self._table.rumour_queue.next_batch(
+            self._tuning.rumours_per_message, retransmissions
+        )
         known = self._table.rumour(peer)
         accused = (RumourState.SUSPECT, RumourState.UNREACHABLE)
         if known is not None and known.state in accused and known not in rumours:
@@ -275,23 +277,23 @@
     def _absorb(self, rumours: Sequence[Rumour]) -> None:
         now_s = _now_s()
         for rumour in rumours:
-            self._table.absorb(rumour, now_s)
+            self._table.merge_rumour(rumour, now_s)
 
     async def _on_ping(self, sender: Incarnation, ping: Ping) -> Pong | None:
         if ping.sender.incarnation != sender:
             return None
-        self._table.heard(ping.sender, _now_s())
+        self._table.record_contact(ping.sender, _now_s())
         self._absorb(ping.rumours)
         return Pong(self._table.own, self._rumours_for(sender.instance))
 
     async def _on_indirect_ping(self, _: Incarnation, ask: IndirectPing) -> IndirectPong:
-        self._table.absorb(ask.known, _now_s())
+        self._table.merge_rumour(ask.known, _now_s())
         reached = await self._ping(ask.target, self._tuning.probe_timeout_s)
         return IndirectPong(self._table.rumour(ask.target) if reached else None)
 
-    async def _on_sync_ask(self, _: Incarnation, ask: SyncAsk) -> SyncReply:
+    async def _on_sync_ask(self, _: Incarnation, ask: SyncRequest) -> SyncReply:
         limit = self._tuning.sync_rumours
-        return SyncReply(self._table.differing(ask.digests, limit, self._rng))
+        return SyncReply(self._table.differing_rumours(ask.digests, limit, self._rng))
 
     async def _sync_forever(self) -> None:
         while True:
@@ -301,7 +303,7 @@
                 await self._sync(self._rng.choice(peers))
 
     async def _sync(self, peer: InstanceName) -> bool:
-        ask = SyncAsk(self._table.digests())
+        ask = SyncRequest(self._table.digests())
         wait_s = self._tuning.probe_timeout_s * 2 * self._slowness.factor
         reply = await self._network.ask(peer, ask, SyncReply, wait_s)
         if isinstance(reply, Err):
@@ -350,7 +352,7 @@
             return False
         rows = reading.ok_value
         own_rows = [row for row in rows if row.service == FLEET_SERVICE]
-        self._table.seed([_listed_member(row) for row in own_rows], _now_s())
+        self._table.apply_list([_listed_member(row) for row in own_rows], _now_s())
         for listener in self._listeners:
             await listener(rows)
         return True
@@ -364,7 +366,7 @@
 def _listed_member(row: ListedInstance) -> Member:
     peer = row.peer_endpoint or row.endpoint
     return Member(
-        Incarnation(InstanceName(row.name), UNHEARD),
+        Incarnation(InstanceName(row.name), UNKNOWN_INCARNATION),
         AvailabilityZone(row.availability_zone),
         row.endpoint.host,
         row.endpoint.port,
--- a/src/egretrail/runtime/_settings.py
+++ b/src/egretrail/runtime/_settings.py
@@ -12,7 +12,7 @@
 from egretrail.fleet import FleetView, Member
 from egretrail.identity import Incarnation
 from egretrail.peer import PeerNetwork
-from egretrail.route import RouteTable, standing_conflicts
+from egretrail.route import RouteTable, existing_conflicts
 from egretrail.runtime._settings_peers import InForce, SettingsPeers
 from egretrail.runtime._settings_policy import SettingsPolicy
 from egretrail.runtime._settings_state import SettingsListener, SettingsState
@@ -142,7 +142,7 @@
             watches=self._watches(),
             behind=self._state.behind,
             issues=list(in_force.issues().values()),
-            conflicts=standing_conflicts(in_force.settings()),
+            conflicts=existing_conflicts(in_force.settings()),
         )
 
     async def put(
--- a/src/egretrail/runtime/_settings_writer.py
+++ b/src/egretrail/runtime/_settings_writer.py
@@ -8,7 +8,7 @@
 import structlog
 from result import Err, Ok, Result
 
-from egretrail.route import acceptance_faults, standing_conflicts
+from egretrail.route import acceptance_faults, existing_conflicts
 from egretrail.runtime._settings_peers import SettingsPeers
 from egretrail.runtime._settings_state import SettingsState
 from egretrail.settings import (
@@ -200,7 +200,7 @@
         if not deletes_service and (change.text is None or path.kind is SettingKind.SERVICE):
             return []
         await self._stored(path)
-        return standing_conflicts(self._state.catalogue.in_force.settings(), path.team)
+        return existing_conflicts(self._state.catalogue.in_force.settings(), path.team)
 
 
 def _parsed(
--- a/src/egretrail/runtime/_upstream_list.py
+++ b/src/egretrail/runtime/_upstream_list.py
@@ -9,13 +9,13 @@
 from result import Ok
 
 from egretrail.fleet import (
-    DrainsAsk,
     DrainSigns,
+    FetchDrainSigns,
+    FetchListedUpstreams,
     ListedUpstreams,
     UpstreamDirectory,
     UpstreamListing,
     UpstreamRow,
-    UpstreamsAsk,
 )
 from egretrail.identity import Incarnation, InstanceName, ServiceName, UpstreamName
 from egretrail.peer import PeerNetwork
@@ -97,9 +97,9 @@
 
     async def start(self) -> None:
         """Take in the list's readings and begin to ask; start this before the membership."""
-        self._network.on(UpstreamsAsk, self._on_upstreams_ask)
+        self._network.on(FetchListedUpstreams, self._on_upstreams_ask)
         self._network.on(ListedUpstreams, self._on_listed)
-        self._network.on(DrainsAsk, self._on_drains_ask)
+        self._network.on(FetchDrainSigns, self._on_drains_ask)
         self._network.on(DrainSigns, self._on_signs)
         self._membership.on_list(self._on_list)
         self._spawn(self._ask_forever())
@@ -147,7 +147,7 @@
 
     def note_drain(self, service: ServiceName, upstream: UpstreamName) -> None:
         """Take an upstream's own word that it is draining, and tell the group."""
-        if self._directory.note_drain(service, upstream, _now_s()):
+        if self._directory.record_drain(service, upstream, _now_s()):
             self._tell_group(service)
 
     def _tell_group(self, service: ServiceName) -> None:
@@ -157,7 +157,7 @@
 
     async def _tell(self, peer: InstanceName, service: ServiceName) -> None:
         for _ in range(_TELLINGS):
-            body = DrainSigns(service, self._directory.signs(service, _now_s()))
+            body = DrainSigns(service, self._directory.drain_signs(service, _now_s()))
             told = await self._network.ask(peer, body, Acknowledged, _ASK_TIMEOUT_S)
             if isinstance(told, Ok):
                 return
@@ -170,7 +170,7 @@
             if row.service != FLEET_SERVICE:
                 by_service[ServiceName(row.service)].append(_row(row))
         for service in {*by_service, *self._directory.services()}:
-            self._directory.read(service, by_service.get(service, []), now_s, now_s)
+            self._directory.apply_rows(service, by_service.get(service, []), now_s, now_s)
         if self._membership.reads_list:
             self._pass_on(by_service)
             self._all_rows, self._read_s = by_service, now_s
@@ -246,12 +246,12 @@
         reader = self._rng.choice(readers)
         asked_s = _now_s()
         reply = await self._network.ask(
-            reader, UpstreamsAsk(service), ListedUpstreams, _ASK_TIMEOUT_S
+            reader, FetchListedUpstreams(service), ListedUpstreams, _ASK_TIMEOUT_S
         )
         if isinstance(reply, Ok) and reply.ok_value.age_s is not None:
             listed = reply.ok_value
             read_s = asked_s - (listed.age_s or 0.0)
-            self._directory.read(service, listed.rows, read_s, _now_s())
+            self._directory.apply_rows(service, listed.rows, read_s, _now_s())
 
     async def _ask_signs(self, service: ServiceName) -> None:
         own = self._membership.own.name
@@ -260,11 +260,11 @@
         if not others:
             return
         peer = self._rng.choice(others)
-        reply = await self._network.ask(peer, DrainsAsk(service), DrainSigns, _ASK_TIMEOUT_S)
+        reply = await self._network.ask(peer, FetchDrainSigns(service), DrainSigns, _ASK_TIMEOUT_S)
         if isinstance(reply, Ok):
-            self._directory.absorb(service, reply.ok_value.signs, _now_s())
+            self._directory.merge_signs(service, reply.ok_value.signs, _now_s())
 
-    async def _on_upstreams_ask(self, _: Incarnation, ask: UpstreamsAsk) -> ListedUpstreams:
+    async def _on_upstreams_ask(self, _: Incarnation, ask: FetchListedUpstreams) -> ListedUpstreams:
         rows = self._all_rows.get(ask.service, [])
         age_s = None if self._read_s is None else _now_s() - self._read_s
         return ListedUpstreams(ask.service, rows, age_s)
@@ -272,13 +272,13 @@
     async def _on_listed(self, _: Incarnation, listed: ListedUpstreams) -> None:
         if listed.age_s is not None:
             now_s = _now_s()
-            self._directory.read(listed.service, listed.rows, now_s - listed.age_s, now_s)
+            self._directory.apply_rows(listed.service, listed.rows, now_s - listed.age_s, now_s)
 
-    async def _on_drains_ask(self, _: Incarnation, ask: DrainsAsk) -> DrainSigns:
-        return DrainSigns(ask.service, self._directory.signs(ask.service, _now_s()))
+    async def _on_drains_ask(self, _: Incarnation, ask: FetchDrainSigns) -> DrainSigns:
+        return DrainSigns(ask.service, self._directory.drain_signs(ask.service, _now_s()))
 
     async def _on_signs(self, _: Incarnation, told: DrainSigns) -> Acknowledged:
-        self._directory.absorb(told.service, told.signs, _now_s())
+        self._directory.merge_signs(told.service, told.signs, _now_s())
         return Acknowledged()
 
     def _spawn(self, coroutine: Any) -> None:
--- a/src/egretrail/service/_backlog.py
+++ b/src/egretrail/service/_backlog.py
@@ -47,7 +47,7 @@
     def remove_started(self, entry: Entry) -> None:
         """Remove a request that starts now, and record it as service of its client and team."""
         if not entry.tried:
-            self._queue_for(entry).started(entry)
+            self._queue_for(entry).record_start(entry)
         self.remove(entry)
 
     def remove(self, entry: Entry) -> None:
--- a/src/egretrail/service/_candidates.py
+++ b/src/egretrail/service/_candidates.py
@@ -19,7 +19,7 @@
     #: Its share of requests, 1.0 for a healthy upstream; lower during warm-up or suspicion.
     weight: float
     #: Whether it is on trial: it receives single idempotent requests that test its recovery.
-    trial: bool
+    is_on_trial: bool
     #: Number of requests that it processes concurrently, as declared.
     slots: int
     #: Requests running on it from other members of the group, as they last reported.
@@ -33,7 +33,7 @@
     def usable(self, now_s: float) -> Sequence[Candidate]:
         """Return the upstreams that may receive requests now, in a stable order."""
 
-    def position(self) -> GroupPosition:
+    def group_position(self) -> GroupPosition:
         """Return the position of this member in the group that serves the service."""
         return GroupPosition()
 
@@ -41,7 +41,7 @@
         """Return the demand, in slots, that each other member of the group last reported."""
         return ()
 
-    def may_run(self, digest: bytes, now_s: float) -> bool:
+    def permits_another_upstream(self, digest: bytes, now_s: float) -> bool:
         """Return whether the request may be sent to a further upstream.
 
         A request that is suspected of crashing upstreams may not.
--- a/src/egretrail/service/_demand.py
+++ b/src/egretrail/service/_demand.py
@@ -36,11 +36,11 @@
     def __init__(self) -> None:
         self._reports: dict[InstanceName, tuple[float, int]] = {}
 
-    def note(self, sender: InstanceName, report: DemandReport, now_s: float) -> None:
+    def record_report(self, sender: InstanceName, report: DemandReport, now_s: float) -> None:
         """Store the report of a member; replaces its earlier report."""
         self._reports[sender] = (now_s, report.demand)
 
-    def forget(self, sender: InstanceName) -> None:
+    def remove_member(self, sender: InstanceName) -> None:
         """Remove the report of a member that has left the group."""
         self._reports.pop(sender, None)
 
@@ -58,7 +58,7 @@
         self._sent_s = float("-inf")
         self._sent = 0.0
 
-    def due(self, demand: float, now_s: float) -> DemandReport | None:
+    def next_report(self, demand: float, now_s: float) -> DemandReport | None:
         """Return the report to send to the group now, None if none is due.
 
         Must be called every ``REPORT_INTERVAL_S``.
--- a/src/egretrail/service/_order.py
+++ b/src/egretrail/service/_order.py
@@ -45,7 +45,7 @@
     def _removed(self, entry: Entry) -> None:
         """Update the order after the removal of a request."""
 
-    def started(self, entry: Entry) -> None:
+    def record_start(self, entry: Entry) -> None:
         """Record that a waiting request is about to start; a call of ``remove`` follows."""
 
     def cost_ahead_s(self, entry: Entry) -> float:
@@ -197,7 +197,7 @@
         if not team.queues:
             self._team_flows.deactivate(name)
 
-    def started(self, entry: Entry) -> None:
+    def record_start(self, entry: Entry) -> None:
         """Record the cost of the request as service received by its client and team."""
         self._team_flows.record_service(entry.work.team, entry.cost_s)
         self._teams[entry.work.team].client_flows.record_service(entry.work.caller, entry.cost_s)
--- a/src/egretrail/service/_scheduler.py
+++ b/src/egretrail/service/_scheduler.py
@@ -53,7 +53,7 @@
     """Admits, queues, dispatches, retries, hedges and refuses the requests for one service.
 
     Event-driven: each call returns the actions for its driver. Every ``Dispatch`` and ``Hedge``
-    is answered by exactly one ``finished``, also after ``Abandon`` or ``cancelled``.
+    is answered by exactly one ``record_attempt_end``, also after ``Abandon`` or ``cancel``.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
             actions += self._refuse_expired(now_s)
         return actions
 
-    def finished(
+    def record_attempt_end(
         self, work_id: WorkId, upstream: UpstreamName, result: AttemptResult, now_s: float
     ) -> Sequence[Action]:
         """Process the end of one attempt: the request ends, or is retried."""
@@ -112,7 +112,7 @@
         actions += self._start_waiting(now_s)
         return actions
 
-    def cancelled(self, work_id: WorkId, now_s: float) -> Sequence[Action]:
+    def cancel(self, work_id: WorkId, now_s: float) -> Sequence[Action]:
         """Drop a request whose client is gone, and abandon its running attempts."""
         entry = self._entries.get(work_id)
         if entry is None:
@@ -162,7 +162,7 @@
     def _refusal_on_arrival(self, entry: Entry, now_s: float) -> Refusal | None:
         """Return why a request cannot be served in time, None if it probably can."""
         upstreams = self._pool.upstreams
-        if not any(not each.candidate.trial or entry.work.idempotent for each in upstreams):
+        if not any(not each.candidate.is_on_trial or entry.work.idempotent for each in upstreams):
             return NoUsableUpstream(self._retry_after_s(_NO_UPSTREAM_RETRY_AFTER_S))
         wait_s = 0.0
         if len(self._backlog):
@@ -240,7 +240,7 @@
         if self._in_flight >= concurrency:
             return []
         for entry in self._backlog.startable(self._long_in_flight, self._long_limit(), now_s):
-            if not self._weights.may_run(entry.work.digest, now_s):
+            if not self._weights.permits_another_upstream(entry.work.digest, now_s):
                 self._backlog.remove(entry)
                 return self._end(entry, MayCrashUpstreams(_SUSPECT_RETRY_AFTER_S))
             chosen = self._selector.choose(entry.work, self._pool, entry.tried)
@@ -323,7 +323,7 @@
             and len(entry.tried) < _MAX_ATTEMPTS
             and entry.latest_start_s > now_s
             and self.budget.is_available()
-            and self._weights.may_run(entry.work.digest, now_s)
+            and self._weights.permits_another_upstream(entry.work.digest, now_s)
             and any(each.candidate.name not in entry.tried for each in self._pool.upstreams)
         )
 
@@ -360,7 +360,7 @@
             entry.hedged = True
             if len(self._backlog) or not self.budget.is_available(_RESERVED_FOR_RETRIES):
                 continue
-            if not self._weights.may_run(entry.work.digest, now_s):
+            if not self._weights.permits_another_upstream(entry.work.digest, now_s):
                 continue
             chosen = self._selector.choose(entry.work, self._pool, entry.tried)
             if chosen is None:
--- a/src/egretrail/service/_upstream_pool.py
+++ b/src/egretrail/service/_upstream_pool.py
@@ -79,14 +79,14 @@
         )
 
     def _rebuild(self, candidates: Sequence[Candidate]) -> None:
-        position = self._weights.position()
+        position = self._weights.group_position()
         limits = [self._limits.limit(each) for each in candidates]
         self._upstreams = [
             PooledUpstream(each, limit, _slots_of_member(each, limit, position))
             for each, limit in zip(candidates, limits, strict=True)
         ]
-        self._on_trial = [each for each in self._upstreams if each.candidate.trial]
-        sound = [each for each in self._upstreams if not each.candidate.trial]
+        self._on_trial = [each for each in self._upstreams if each.candidate.is_on_trial]
+        sound = [each for each in self._upstreams if not each.candidate.is_on_trial]
         self._with_own_slots = [each for each in sound if each.own_slots]
         self._without_own_slots = [each for each in sound if not each.own_slots]
         self._capacity = sum(each.limit * each.candidate.weight for each in sound)
--- a/src/egretrail/service/tests/test_scheduler.py
+++ b/src/egretrail/service/tests/test_scheduler.py
@@ -92,7 +92,7 @@
         idempotent, result, expected = row
         subject = scheduler(FixedWeights(upstreams(3)))
         first = only_dispatch(subject.submit(work(1, idempotent=idempotent), 0.0))
-        (action,) = subject.finished(WorkId("1"), first, result, 0.1)
+        (action,) = subject.record_attempt_end(WorkId("1"), first, result, 0.1)
         self.assertIsInstance(action, expected)
         if isinstance(action, Dispatch):
             self.assertNotEqual(first, action.upstream)
@@ -101,9 +101,9 @@
         subject = scheduler(FixedWeights(upstreams(2)))
         first = only_dispatch(subject.submit(work(1, idempotent=False), 0.0))
         subject.submit(work(2), 0.0)
-        actions = subject.finished(WorkId("1"), first, AttemptResult.SHED, 0.1)
+        actions = subject.record_attempt_end(WorkId("1"), first, AttemptResult.SHED, 0.1)
         second = only_dispatch(actions)
-        (refused,) = subject.finished(WorkId("1"), second, AttemptResult.SHED, 0.2)
+        (refused,) = subject.record_attempt_end(WorkId("1"), second, AttemptResult.SHED, 0.2)
         assert isinstance(refused, Refuse)
         self.assertIsInstance(refused.refusal, UpstreamsDeclined)
         self.assertGreater(refused.refusal.retry_after_s, 0)
@@ -117,7 +117,7 @@
             while pending:
                 action = pending.pop()
                 if isinstance(action, Dispatch):
-                    pending += subject.finished(
+                    pending += subject.record_attempt_end(
                         action.work_id, action.upstream, AttemptResult.FAILED, now_s
                     )
         self.assertEqual(1000, subject.budget.first_tries)
@@ -150,7 +150,7 @@
         subject = scheduler(FixedWeights(upstreams(1, slots=1)))
         for number in range(50):
             upstream = only_dispatch(subject.submit(work(number, 100.0 * number), 100.0 * number))
-            subject.finished(
+            subject.record_attempt_end(
                 WorkId(str(number)), upstream, AttemptResult.ANSWERED, 100.0 * number + 50.0
             )
 
@@ -160,13 +160,15 @@
         subject = scheduler(FixedWeights(upstreams(3)))
         for number in range(10):
             upstream = only_dispatch(subject.submit(work(number), 0.0))
-            subject.finished(WorkId(str(number)), upstream, AttemptResult.ANSWERED, 0.05)
+            subject.record_attempt_end(WorkId(str(number)), upstream, AttemptResult.ANSWERED, 0.05)
         first = only_dispatch(subject.submit(work(99, 1.0, hedge=True), 1.0))
         due_s = subject.next_wakeup_s()
         assert due_s is not None
         (hedge,) = subject.tick(due_s)
         assert isinstance(hedge, Hedge)
-        ended = subject.finished(WorkId("99"), hedge.upstream, AttemptResult.ANSWERED, due_s + 0.01)
+        ended = subject.record_attempt_end(
+            WorkId("99"), hedge.upstream, AttemptResult.ANSWERED, due_s + 0.01
+        )
         self.assertEqual(
             [Finish(WorkId("99"), hedge.upstream), Abandon(WorkId("99"), first)], ended
         )
@@ -233,7 +235,7 @@
         if kind == "cancel" and self.open:
             chosen = self.rng.choice(sorted(self.open))
             self.open.discard(chosen)
-            return self.subject.cancelled(chosen, now_s)
+            return self.subject.cancel(chosen, now_s)
         if kind == "change":
             self.weights.candidates = [
                 each for each in self.all_candidates if self.rng.random() < 0.8
@@ -245,7 +247,7 @@
         result = self.rng.choice(list(AttemptResult))
         if not result.certainly_not_run:
             self.maybe_ran.add(work_id)
-        return self.subject.finished(work_id, upstream, result, now_s)
+        return self.subject.record_attempt_end(work_id, upstream, result, now_s)
 
     def check(self, actions: Sequence[Action]) -> None:
         for action in actions:
@@ -270,5 +272,5 @@
     def test_a_connect_timeout_longer_than_the_queue_time_does_not_prevent_a_retry(self) -> None:
         subject = scheduler(FixedWeights(upstreams(2)))
         first = only_dispatch(subject.submit(work(1, queue_s=0.5, deadline_s=3.0), 0.0))
-        actions = subject.finished(WorkId("1"), first, AttemptResult.NOT_SENT, 1.0)
+        actions = subject.record_attempt_end(WorkId("1"), first, AttemptResult.NOT_SENT, 1.0)
         self.assertNotEqual(first, only_dispatch(actions))
--- a/src/egretrail/trace/_egretrail.py
+++ b/src/egretrail/trace/_egretrail.py
@@ -115,7 +115,7 @@
             self._health.peer_in_flight(name),
         )
 
-    def position(self) -> GroupPosition:
+    def group_position(self) -> GroupPosition:
         """Return the instance's place in the group."""
         if not self._variant.home_slots:
             return GroupPosition()
@@ -125,7 +125,7 @@
         """Return the demands that peers reported."""
         return self.demands.demands(now_s) if self._variant.share_slots else ()
 
-    def may_run(self, digest: bytes, now_s: float) -> bool:
+    def permits_another_upstream(self, digest: bytes, now_s: float) -> bool:
         """Return whether fewer upstreams than allowed were lost with the request."""
         return self.suspects.permits_another_upstream(int.from_bytes(digest, "big"), now_s)
 
@@ -185,7 +185,7 @@
         if attempt.outcome is not AttemptOutcome.ANSWERED:
             self._weights.expire()
             self._tell_urgent(now_s)
-        return self.scheduler.finished(
+        return self.scheduler.record_attempt_end(
             work_id, attempt.upstream, ATTEMPT_RESULTS[attempt.outcome], now_s
         )
 
@@ -201,7 +201,7 @@
             case DrainNotice():
                 self._drains(message.upstream)
             case DemandReport():
-                self._weights.demands.note(InstanceName(str(sender)), message, now_s)
+                self._weights.demands.record_report(InstanceName(str(sender)), message, now_s)
                 return self.scheduler.tick(now_s)
             case _:
                 raise TypeError(f"unexpected message {message!r}")
@@ -266,7 +266,7 @@
             self._peers.tell(evidence)
 
     def _tell_demand(self, now_s: float) -> None:
-        report = self._reporter.due(self.scheduler.demand, now_s)
+        report = self._reporter.next_report(self.scheduler.demand, now_s)
         if report is not None and self._variant.share_slots:
             self._peers.tell(report)
 
