--- a/src/egretrail/peer/_errors.py
+++ b/src/egretrail/peer/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of exchanges with peers."""
+"""Failures of message exchanges with peers."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerUnreachable:
-    """No stream to the peer could be opened: the message was certainly not delivered."""
+    """No stream to the peer could be opened, so the message was certainly not delivered."""
 
     #: The peer that was addressed.
     peer: InstanceName
-    #: The transport's own account of the failure.
+    #: The transport's description of the failure.
     cause: str
 
     def __str__(self) -> str:
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSilent:
-    """The message was sent and no reply came: the peer may or may not have acted on it."""
+    """The message was sent but no reply was received; the peer may have handled it."""
 
     #: The peer that was addressed.
     peer: InstanceName
-    #: How long the reply was waited for.
+    #: The time limit for the reply.
     waited_s: float
 
     def __str__(self) -> str:
--- a/src/egretrail/peer/_network.py
+++ b/src/egretrail/peer/_network.py
@@ -1,4 +1,4 @@
-"""The interface through which drivers talk to other instances."""
+"""The interface through which drivers exchange messages with other instances."""
 
 import abc
 from collections.abc import Awaitable, Callable
@@ -13,16 +13,19 @@
 M = TypeVar("M", bound=Message)
 R = TypeVar("R", bound=Message)
 
-#: Receives the sender and its message; what it returns is the reply, None replies nothing.
+#: Called with the sender and its message; returns the reply, or None to send no reply.
 Handler = Callable[[Incarnation, M], Awaitable[Message | None]]
 
 
 class PeerNetwork(abc.ABC):
-    """Sends messages to instances by name. Messages may be lost, late, doubled or reordered."""
+    """Sends messages to instances by name.
+
+    Messages may be lost, delayed, duplicated or reordered.
+    """
 
     @abc.abstractmethod
     def on(self, cls: type[M], handler: Handler[M]) -> None:
-        """Let ``handler`` act on every message of one type."""
+        """Register ``handler`` for messages of type ``cls``."""
 
     @abc.abstractmethod
     async def ask(
@@ -32,4 +35,4 @@
 
     @abc.abstractmethod
     def send(self, peer: InstanceName, body: Message) -> None:
-        """Send a message without waiting; it is dropped when the peer cannot be reached."""
+        """Send a message without waiting; it is dropped if the peer cannot be reached."""
--- a/src/egretrail/peer/_tcp.py
+++ b/src/egretrail/peer/_tcp.py
@@ -1,7 +1,8 @@
-"""Peer streams over TCP: length-prefixed msgpack frames after a mutual proof of the fleet key.
+"""Peer streams over TCP: length-prefixed msgpack frames after mutual authentication by fleet key.
 
-Each instance keeps one outgoing stream to each peer that it talks to, and replies on the stream
-that a question came on. A stream that breaks a rule is closed; the next message opens another.
+Each instance keeps one outgoing stream to each peer that it sends to, and replies on the stream
+that a request arrived on. After a protocol error a stream is closed; the next message opens a new
+one.
 """
 
 import asyncio
@@ -32,7 +33,7 @@
 M = TypeVar("M", bound=Message)
 R = TypeVar("R", bound=Message)
 
-#: Finds where a peer listens; None when the instance is not known.
+#: Resolves the address of a peer; returns None if the instance is unknown.
 Directory = Callable[[InstanceName], tuple[str, int] | None]
 
 _LENGTH = struct.Struct(">I")
@@ -42,22 +43,22 @@
 
 
 class _StreamError(Exception):
-    """A stream broke the framing rules or failed the handshake."""
+    """A stream violated the framing rules or failed the handshake."""
 
 
 @dataclass(slots=True)
 class _Stream:
-    #: The connection's two halves.
+    #: The connection's reader and writer.
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    #: Exchanges that wait for a reply on this stream.
-    waiting: dict[int, asyncio.Future[Message]] = field(default_factory=dict)
-    #: Reads replies until the stream ends.
+    #: Pending replies by exchange id.
+    pending_replies: dict[int, asyncio.Future[Message]] = field(default_factory=dict)
+    #: The task that reads replies until the stream ends.
     task: asyncio.Task[None] | None = None
 
 
 class TcpPeerNetwork(PeerNetwork):
-    """Peer streams of one instance: a listener and outgoing streams, opened on first use."""
+    """Peer streams of one instance: a listener, and outgoing streams opened on first use."""
 
     def __init__(
         self,
@@ -74,15 +75,15 @@
         self._connect_timeout_s = connect_timeout_s
         self._handlers: dict[type[Message], Handler[Any]] = {}
         self._streams: dict[InstanceName, _Stream] = {}
-        self._opening: dict[InstanceName, asyncio.Lock] = {}
+        self._open_locks: dict[InstanceName, asyncio.Lock] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._accepted: set[asyncio.StreamWriter] = set()
+        self._accepted_writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self._last_exchange_id = 0
 
     async def start(self, host: str, port: int) -> int:
-        """Listen for peers; return the port, which the system chooses when ``port`` is 0."""
-        self._server = await asyncio.start_server(self._accept, host, port)
+        """Listen for peers; return the port, which the system chooses if ``port`` is 0."""
+        self._server = await asyncio.start_server(self._serve_stream, host, port)
         bound: int = self._server.sockets[0].getsockname()[1]
         return bound
 
@@ -92,14 +93,14 @@
             self._server.close()
         for stream in list(self._streams.values()):
             stream.writer.close()
-        for writer in list(self._accepted):
+        for writer in list(self._accepted_writers):
             writer.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def on(self, cls: type[M], handler: Handler[M]) -> None:
-        """Let ``handler`` act on every message of one type."""
+        """Register ``handler`` for messages of type ``cls``."""
         self._handlers[cls] = handler
 
     async def ask(
@@ -113,20 +114,20 @@
         self._last_exchange_id += 1
         exchange_id = self._last_exchange_id
         reply: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        stream.waiting[exchange_id] = reply
+        stream.pending_replies[exchange_id] = reply
         try:
             _write(stream.writer, Frame(FrameKind.ASK, exchange_id, body))
             answer = await asyncio.wait_for(reply, timeout_s)
         except (TimeoutError, OSError):
             return Err(PeerSilent(peer, timeout_s))
         finally:
-            stream.waiting.pop(exchange_id, None)
+            stream.pending_replies.pop(exchange_id, None)
         if not isinstance(answer, reply_type):
             return Err(PeerSilent(peer, timeout_s))
         return Ok(answer)
 
     def send(self, peer: InstanceName, body: Message) -> None:
-        """Send a message without waiting; it is dropped when the peer cannot be reached."""
+        """Send a message without waiting; it is dropped if the peer cannot be reached."""
         stream = self._streams.get(peer)
         if stream is not None:
             _write(stream.writer, Frame(FrameKind.NOTIFY, 0, body))
@@ -141,14 +142,14 @@
     async def _stream_to(
         self, peer: InstanceName, timeout_s: float
     ) -> Result[_Stream, PeerUnreachable]:
-        lock = self._opening.setdefault(peer, asyncio.Lock())
+        lock = self._open_locks.setdefault(peer, asyncio.Lock())
         async with lock:
             stream = self._streams.get(peer)
             if stream is not None:
                 return Ok(stream)
             address = self._directory(peer)
             if address is None:
-                return Err(PeerUnreachable(peer, "its address is not known"))
+                return Err(PeerUnreachable(peer, "the peer's address is unknown"))
             try:
                 limit_s = min(timeout_s, self._connect_timeout_s)
                 stream = await asyncio.wait_for(self._open(peer, *address), limit_s)
@@ -161,7 +162,7 @@
     async def _open(self, peer: InstanceName, host: str, port: int) -> _Stream:
         reader, writer = await asyncio.open_connection(host, port)
         try:
-            server_nonce = _bytes(await _read_handshake(reader), "nonce")
+            server_nonce = _byte_field(await _read_handshake(reader), "nonce")
             nonce = secrets.token_bytes(_NONCE_BYTES)
             proof = self._proof(b"client", server_nonce, nonce, self._own)
             _write_handshake(
@@ -175,12 +176,12 @@
                 },
             )
             welcome = await _read_handshake(reader)
-            theirs = _incarnation(welcome)
+            theirs = _sender_incarnation(welcome)
             expected = self._proof(b"server", nonce, server_nonce, theirs)
-            if not hmac.compare_digest(expected, _bytes(welcome, "proof")):
-                raise _StreamError("the peer does not hold the fleet key")
+            if not hmac.compare_digest(expected, _byte_field(welcome, "proof")):
+                raise _StreamError("the accepting peer's proof does not match the fleet key")
             if theirs.instance != peer:
-                raise _StreamError(f"the address belongs to {theirs.instance}")
+                raise _StreamError(f"the address belongs to instance {theirs.instance}")
         except BaseException:
             writer.close()
             raise
@@ -190,24 +191,30 @@
         try:
             while True:
                 frame = await self._read_frame(stream.reader)
-                waiter = stream.waiting.get(frame.exchange_id)
-                if frame.kind is FrameKind.REPLY and waiter is not None and not waiter.done():
-                    waiter.set_result(frame.body)
+                pending_reply = stream.pending_replies.get(frame.exchange_id)
+                if (
+                    frame.kind is FrameKind.REPLY
+                    and pending_reply is not None
+                    and not pending_reply.done()
+                ):
+                    pending_reply.set_result(frame.body)
         except (OSError, EOFError, _StreamError) as error:
             _log.info("peer_stream_closed", peer=peer, cause=repr(error))
         finally:
             if self._streams.get(peer) is stream:
                 del self._streams[peer]
             stream.writer.close()
-            for waiter in stream.waiting.values():
-                if not waiter.done():
-                    waiter.set_exception(ConnectionResetError())
+            for pending_reply in stream.pending_replies.values():
+                if not pending_reply.done():
+                    pending_reply.set_exception(ConnectionResetError())
 
-    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._accepted.add(writer)
+    async def _serve_stream(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        self._accepted_writers.add(writer)
         try:
             sender = await asyncio.wait_for(
-                self._greet(reader, writer), self._connect_timeout_s * 2
+                self._authenticate(reader, writer), self._connect_timeout_s * 2
             )
             while True:
                 frame = await self._read_frame(reader)
@@ -217,22 +224,24 @@
         except asyncio.CancelledError:
             pass
         finally:
-            self._accepted.discard(writer)
+            self._accepted_writers.discard(writer)
             writer.close()
 
-    async def _greet(
+    async def _authenticate(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> Incarnation:
         nonce = secrets.token_bytes(_NONCE_BYTES)
         _write_handshake(writer, {"nonce": nonce})
         hello = await _read_handshake(reader)
-        sender = _incarnation(hello)
-        client_nonce = _bytes(hello, "nonce")
+        sender = _sender_incarnation(hello)
+        client_nonce = _byte_field(hello, "nonce")
         expected = self._proof(b"client", nonce, client_nonce, sender)
-        if not hmac.compare_digest(expected, _bytes(hello, "proof")):
-            raise _StreamError("the caller of this stream does not hold the fleet key")
+        if not hmac.compare_digest(expected, _byte_field(hello, "proof")):
+            raise _StreamError("the connecting peer's proof does not match the fleet key")
         if hello.get("version") != PROTOCOL_VERSION:
-            raise _StreamError(f"version {hello.get('version')!r}")
+            raise _StreamError(
+                f"protocol version {hello.get('version')!r}, expected {PROTOCOL_VERSION}"
+            )
         proof = self._proof(b"server", client_nonce, nonce, self._own)
         _write_handshake(
             writer,
@@ -257,14 +266,16 @@
     async def _read_frame(self, reader: asyncio.StreamReader) -> Frame:
         (size_bytes,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
         if size_bytes > self._frame_limit_bytes:
-            raise _StreamError(f"a frame of {size_bytes} bytes")
+            raise _StreamError(f"frame of {size_bytes} bytes exceeds the limit")
         decoded = decode_frame(await reader.readexactly(size_bytes))
         if isinstance(decoded, Err):
             raise _StreamError(str(decoded.err_value))
         return decoded.ok_value
 
-    def _proof(self, side: bytes, first: bytes, second: bytes, who: Incarnation) -> bytes:
-        text = b"\x00".join([side, first, second, str(who).encode()])
+    def _proof(
+        self, side: bytes, first_nonce: bytes, second_nonce: bytes, incarnation: Incarnation
+    ) -> bytes:
+        text = b"\x00".join([side, first_nonce, second_nonce, str(incarnation).encode()])
         return hmac.new(self._fleet_key, text, hashlib.sha256).digest()
 
     def _spawn(self, coroutine: Any) -> asyncio.Task[None]:
@@ -287,7 +298,7 @@
 async def _read_handshake(reader: asyncio.StreamReader) -> dict[str, Any]:
     (size_bytes,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if size_bytes > _HANDSHAKE_LIMIT_BYTES:
-        raise _StreamError(f"a handshake of {size_bytes} bytes")
+        raise _StreamError(f"handshake of {size_bytes} bytes exceeds the limit")
     try:
         document = msgpack.unpackb(await reader.readexactly(size_bytes))
     except (ValueError, msgpack.UnpackException) as error:
@@ -297,15 +308,15 @@
     return document
 
 
-def _bytes(document: dict[str, Any], name: str) -> bytes:
+def _byte_field(document: dict[str, Any], name: str) -> bytes:
     value = document.get(name)
     if not isinstance(value, bytes):
-        raise _StreamError(f"the handshake lacks {name}")
+        raise _StreamError(f"the handshake has no byte field {name!r}")
     return value
 
 
-def _incarnation(document: dict[str, Any]) -> Incarnation:
+def _sender_incarnation(document: dict[str, Any]) -> Incarnation:
     instance, number = document.get("instance"), document.get("number")
     if not isinstance(instance, str) or not isinstance(number, int):
-        raise _StreamError("the handshake lacks the sender")
+        raise _StreamError("the handshake has no valid sender")
     return Incarnation(InstanceName(instance), number)
--- a/src/egretrail/peer/tests/test_tcp.py
+++ b/src/egretrail/peer/tests/test_tcp.py
@@ -1,4 +1,4 @@
-"""Peer streams on loopback: proof of the fleet key, limits, and streams that break."""
+"""Peer streams on loopback: authentication by fleet key, size limits, and broken streams."""
 
 import asyncio
 import struct
@@ -51,22 +51,22 @@
 
 
 class TcpPeerNetworkTest(EgretrailTestCase):
-    def test_a_question_is_answered(self) -> None:
+    def test_a_request_gets_a_reply(self) -> None:
         async def use(a: TcpPeerNetwork, _b: TcpPeerNetwork, _port: int) -> None:
             reply = await a.ask(_B.instance, Acknowledged(), Acknowledged, 5.0)
             self.assertEqual(Ok(Acknowledged()), reply)
 
         self.run_real(_with_pair(use))
 
-    def test_the_sender_is_the_one_that_proved_the_key(self) -> None:
+    def test_the_sender_is_the_authenticated_instance(self) -> None:
         async def use(a: TcpPeerNetwork, b: TcpPeerNetwork, _port: int) -> None:
             seen: list[Incarnation] = []
 
-            async def note(sender: Incarnation, _message: Acknowledged) -> Message:
+            async def record_sender(sender: Incarnation, _message: Acknowledged) -> Message:
                 seen.append(sender)
                 return Acknowledged()
 
-            b.on(Acknowledged, note)
+            b.on(Acknowledged, record_sender)
             await a.ask(_B.instance, Acknowledged(), Acknowledged, 5.0)
             self.assertEqual([_A], seen)
 
@@ -78,7 +78,7 @@
             "another_instance_at_the_address": {"name_of_b": "c"},
         }
     )
-    def test_streams_that_prove_nothing_are_refused(self, arguments: dict[str, str]) -> None:
+    def test_streams_that_fail_authentication_are_refused(self, arguments: dict[str, str]) -> None:
         async def use(a: TcpPeerNetwork, _b: TcpPeerNetwork, _port: int) -> None:
             reply = await a.ask(_B.instance, Acknowledged(), Acknowledged, 5.0)
             self.assertIsInstance(reply, Err)
@@ -93,7 +93,9 @@
 
         self.run_real(_with_pair(use))
 
-    def test_a_stream_cut_during_the_answer_is_silence_and_the_next_question_works(self) -> None:
+    def test_a_stream_that_breaks_before_the_reply_is_silent_and_the_next_request_succeeds(
+        self,
+    ) -> None:
         async def use(a: TcpPeerNetwork, b: TcpPeerNetwork, _port: int) -> None:
             asked = asyncio.Event()
 
@@ -103,11 +105,13 @@
                 return Acknowledged()
 
             b.on(Acknowledged, hang)
-            asking = asyncio.create_task(a.ask(_B.instance, Acknowledged(), Acknowledged, 30.0))
+            request_task = asyncio.create_task(
+                a.ask(_B.instance, Acknowledged(), Acknowledged, 30.0)
+            )
             await asked.wait()
-            for writer in list(b._accepted):
+            for writer in list(b._accepted_writers):
                 writer.transport.abort()
-            self.assertIsInstance((await asking).unwrap_err(), PeerSilent)
+            self.assertIsInstance((await request_task).unwrap_err(), PeerSilent)
             b.on(Acknowledged, _acknowledge)
             self.assertIsInstance(await a.ask(_B.instance, Acknowledged(), Acknowledged, 5.0), Ok)
 
@@ -121,7 +125,7 @@
             "proof_is_wrong": _framed(_WRONG_HELLO),
         }
     )
-    def test_a_stranger_is_cut_off(self, written: bytes) -> None:
+    def test_an_unauthenticated_stream_is_closed(self, written: bytes) -> None:
         async def use(_a: TcpPeerNetwork, _b: TcpPeerNetwork, port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(written)
--- a/src/egretrail/request/__init__.py
+++ b/src/egretrail/request/__init__.py
@@ -1,4 +1,4 @@
-"""A caller's request and its answer, in the form that instances pass to each other."""
+"""A client's request and its answer, in the form that instances send to each other."""
 
 from egretrail.request._answer import Answer, Outcome, RecordedAnswer, Refusal, RefusalCause
 from egretrail.request._envelope import RequestEnvelope, request_digest
--- a/src/egretrail/request/_answer.py
+++ b/src/egretrail/request/_answer.py
@@ -1,68 +1,68 @@
-"""What a caller is given: an upstream's whole answer, or a refusal that says what became of it."""
+"""The answer to a client: an upstream's complete response, or a refusal with the known outcome."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Outcome(enum.Enum):
-    """What is known about the work that a request asked for."""
+    """What is known about whether a request ran."""
 
-    #: The work was done, though its answer is not at hand.
+    #: The request ran, but its response is not available.
     RAN = "ran"
-    #: The work was not done, and this key will never do it.
+    #: The request did not run, and will not run under this key.
     NOT_RUN = "not-run"
-    #: The work may or may not have been done; the fleet will not do it again.
+    #: The request may have run; the fleet will not run it again.
     UNKNOWN = "unknown"
 
 
 class RefusalCause(enum.Enum):
-    """Why a request was not answered by an upstream."""
+    """Why a request got no response from an upstream."""
 
     #: The service's queue is full.
     QUEUE_FULL = "queue-full"
     #: The request cannot be answered within its deadline.
     DEADLINE = "deadline"
-    #: No upstream of the service takes work.
+    #: No upstream of the service accepts requests.
     NO_UPSTREAM = "no-upstream"
-    #: Every upstream that was tried refused the connection or declined before any work.
+    #: Every upstream that was tried refused the connection or declined without running the request.
     UPSTREAMS_DECLINED = "upstreams-declined"
     #: The connection to the upstream was lost after the request had been sent.
     UPSTREAM_LOST = "upstream-lost"
-    #: The upstream's answer was cut, crossed or malformed.
+    #: The upstream's response was truncated, malformed or belonged to another request.
     ANSWER_INVALID = "answer-invalid"
-    #: The upstream's answer is larger than the limit.
+    #: The upstream's response exceeds the size limit.
     ANSWER_TOO_LARGE = "answer-too-large"
-    #: As many upstreams as one request may be lost with were lost with it.
+    #: The limit of upstreams lost while they had this request is reached.
     SUSPECT_REQUEST = "suspect-request"
-    #: The instance has to catch up with the settings first, after a start or a pause.
+    #: The instance has not caught up with the settings yet, after a start or a pause.
     NOT_READY = "not-ready"
     #: The instance is stopping.
     STOPPING = "stopping"
     #: The instances that serve the service cannot be reached.
     GROUP_UNREACHABLE = "group-unreachable"
-    #: The instance holds as many requests or keys as it may.
+    #: The instance holds the most requests or keys that it accepts.
     INSTANCE_FULL = "instance-full"
-    #: The key has no valid form, or names no instance of this fleet.
+    #: The key is malformed, or was not issued by this fleet.
     KEY_INVALID = "key-invalid"
-    #: The key was first used for another request, or by another caller.
+    #: The key was first used for another request, or by another client account.
     KEY_REUSED = "key-reused"
-    #: The key was refused before it ran, for good.
+    #: The key was finally refused before it ran.
     KEY_SEALED = "key-sealed"
     #: The key belongs to a generation that is no longer accepted.
     KEY_EXPIRED = "key-expired"
-    #: The key's home cannot reach the witness that must record it first.
+    #: The key's home cannot reach the witness, which has to record the key first.
     WITNESS_UNREACHABLE = "witness-unreachable"
-    #: The key was recorded; the instance that may have run it cannot be asked.
+    #: The key was recorded, but the instance that may have run it is unreachable.
     HOME_UNREACHABLE = "home-unreachable"
-    #: The processes that knew the key have ended.
+    #: The processes that held the key's record have ended.
     RECORD_LOST = "record-lost"
-    #: The answer was too large to keep, or was dropped for newer ones.
+    #: The response was too large to retain, or was evicted by newer ones.
     ANSWER_DROPPED = "answer-dropped"
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """An upstream's answer, whole."""
+    """An upstream's complete response."""
 
     #: The HTTP status.
     status: int
@@ -74,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The fleet's own answer, in place of an upstream's."""
+    """The fleet's own response instead of an upstream's."""
 
-    #: What is known about the work.
+    #: What is known about whether the request ran.
     outcome: Outcome
-    #: Why there is no answer of an upstream.
+    #: Why there is no response of an upstream.
     cause: RefusalCause
-    #: When to come back, with a new key if this one was not run; None: not worth it.
+    #: Delay before a retry, with a new key if this one did not run; None if a retry is of no use.
     retry_after_s: float | None = None
 
     def __str__(self) -> str:
--- a/src/egretrail/request/_envelope.py
+++ b/src/egretrail/request/_envelope.py
@@ -1,4 +1,4 @@
-"""A caller's request, whole, with what the fleet has to know to place it."""
+"""A client's complete request, with the metadata that is needed to place it."""
 
 import hashlib
 from dataclasses import dataclass
@@ -10,37 +10,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnvelope:
-    """One request of a caller, read to its end.
+    """One complete request of a client.
 
-    Tuples rather than sequences, so that a request is equal to itself after a trip between peers.
+    The fields are tuples, not sequences, so that a request compares equal after it is decoded by a
+    peer.
     """
 
     #: The HTTP method.
     method: str
-    #: The path with its query, as the caller sent it.
+    #: The path with its query, as the client sent it.
     target: str
     #: Header fields in their order, decoded as Latin-1.
     headers: tuple[tuple[str, str], ...]
     #: The whole body.
     body: bytes
-    #: Who sent it.
+    #: The client account that sent the request.
     caller_id: CallerId
-    #: The service that the route names.
+    #: The service of the route.
     service: ServiceName
     #: The route that the request matched.
     route: RouteName
-    #: Time left, counted from the moment the holder of this envelope got it.
+    #: Seconds left until the deadline, counted from the time this instance got the envelope.
     deadline_s: float
-    #: The Idempotency-Key as the caller sent it; None for an idempotent request without one.
+    #: The Idempotency-Key as the client sent it; None for an idempotent request without a key.
     key: str | None = None
 
 
 def request_digest(request: RequestEnvelope) -> bytes:
     """Return a collision-resistant digest of the route, method, target and body.
 
-    Two requests of equal digest ask for the same work. Header fields stay out: a resend may carry
-    other dates, traces and, as callers connect to instances by address, another Host; the route
-    stands for the part of Host that matters.
+    Requests with equal digests ask for the same work. Header fields are not included: a resend may
+    have another date or trace id. Its Host may differ, too, because clients connect to instances by
+    address; the route covers the relevant part of Host.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (request.route.encode(), request.method.encode(), request.target.encode()):
--- a/src/egretrail/request/_messages.py
+++ b/src/egretrail/request/_messages.py
@@ -1,4 +1,4 @@
-"""Passing an idempotent request on to an instance that serves its service."""
+"""Messages that forward an idempotent request to an instance that serves its service."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 @message("request-forward")
 @dataclass(frozen=True, slots=True)
 class ForwardRequest(Message):
-    """Asks a member of the service's group to have an upstream answer a request."""
+    """Asks a member of the service's group to send a request to an upstream."""
 
     #: The request.
     request: RequestEnvelope
@@ -21,5 +21,5 @@
 class ForwardReply(Message):
     """The reply to a forwarded request."""
 
-    #: The upstream's answer or the member's refusal.
+    #: The upstream's response or the member's refusal.
     answer: RecordedAnswer | Refusal
--- a/src/egretrail/request/tests/test_request.py
+++ b/src/egretrail/request/tests/test_request.py
@@ -1,4 +1,4 @@
-"""Requests between instances."""
+"""Requests forwarded between instances."""
 
 from dataclasses import replace
 from typing import Any
@@ -39,17 +39,17 @@
 }
 
 
-def _over_the_wire(body: Message) -> Message:
+def _encode_and_decode(body: Message) -> Message:
     return decode_frame(encode_frame(Frame(FrameKind.ASK, 1, body))).unwrap().body
 
 
 class RequestOnTheWireTest(EgretrailTestCase):
-    def test_a_request_is_equal_to_itself_after_a_trip(self) -> None:
-        self.assertEqual(ForwardRequest(_REQUEST), _over_the_wire(ForwardRequest(_REQUEST)))
+    def test_a_request_is_equal_after_encoding_and_decoding(self) -> None:
+        self.assertEqual(ForwardRequest(_REQUEST), _encode_and_decode(ForwardRequest(_REQUEST)))
 
     @cases(_ANSWERS)
-    def test_an_answer_is_equal_to_itself_after_a_trip(self, answer: Answer) -> None:
-        self.assertEqual(ForwardReply(answer), _over_the_wire(ForwardReply(answer)))
+    def test_an_answer_is_equal_after_encoding_and_decoding(self, answer: Answer) -> None:
+        self.assertEqual(ForwardReply(answer), _encode_and_decode(ForwardReply(answer)))
 
     def test_a_frame_with_a_changed_field_is_refused(self) -> None:
         data = encode_frame(Frame(FrameKind.ASK, 1, ForwardRequest(_REQUEST)))
@@ -66,9 +66,9 @@
             "parts_shifted": {"method": "POST/", "target": "varaus?board=7"},
         }
     )
-    def test_other_work_has_another_digest(self, change: dict[str, Any]) -> None:
+    def test_different_requests_have_different_digests(self, change: dict[str, Any]) -> None:
         self.assertNotEqual(request_digest(_REQUEST), request_digest(replace(_REQUEST, **change)))
 
-    def test_headers_and_time_left_do_not_change_it(self) -> None:
+    def test_headers_and_deadline_do_not_change_the_digest(self) -> None:
         resend = replace(_REQUEST, headers=(("Host", "10.0.0.1"),), deadline_s=0.1)
         self.assertEqual(request_digest(_REQUEST), request_digest(resend))
--- a/src/egretrail/runtime/__init__.py
+++ b/src/egretrail/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""Asynchronous drivers: they connect the decision packages to sockets, peers and the clock."""
+"""Asynchronous drivers that connect the decision logic to sockets, peers and the clock."""
 
 from egretrail.runtime._demand import DemandDriver, DemandSource
 from egretrail.runtime._evidence import EvidenceDriver
@@ -8,9 +8,9 @@
 from egretrail.runtime._problem import OUTCOME_HEADER, PROBLEM_CONTENT_TYPE, Problem, problem_of
 from egretrail.runtime._report import ReportDriver
 from egretrail.runtime._rights import RightsDriver, RightsReport
-from egretrail.runtime._rights_register import FloorSource
+from egretrail.runtime._rights_registrar import FloorSource
 from egretrail.runtime._settings import SettingsDriver, SettingsStatus
-from egretrail.runtime._settings_face import OperatorTokenMiddleware, add_settings_routes
+from egretrail.runtime._settings_http import OperatorTokenMiddleware, add_settings_routes
 from egretrail.runtime._settings_peers import InForce
 from egretrail.runtime._settings_policy import SettingsPolicy
 from egretrail.runtime._settings_writer import StoredSetting
--- a/src/egretrail/runtime/_demand.py
+++ b/src/egretrail/runtime/_demand.py
@@ -1,4 +1,4 @@
-"""Tells the members of each service's group how many slots this instance could use."""
+"""Reports to the members of each service's group how many slots this instance could use."""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -20,7 +20,7 @@
 
 
 class DemandDriver:
-    """Exchanges demand, so that the members of a group divide the slots alike."""
+    """Exchanges demand reports, so that all members of a group compute the same slot shares."""
 
     def __init__(self, network: PeerNetwork, view: FleetView, demands: DemandSource) -> None:
         self._network = network
@@ -31,18 +31,18 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to exchange demand."""
+        """Start exchanging demand reports."""
         self._network.on(DemandReport, self._on_report)
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop; the peers' memory of this instance's demand fades."""
+        """Stop reporting; the demand that peers hold for this instance expires."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def position(self, service: ServiceName) -> GroupPosition:
-        """Return this instance's place in the service's group, ordered by name."""
+        """Return this instance's index in the service's group, ordered by name."""
         names = sorted(member.name for member in self._view.group(service))
         own = self._view.own.name
         if own not in names:
@@ -50,20 +50,20 @@
         return GroupPosition(names.index(own), len(names))
 
     def peer_demands(self, service: ServiceName, now_s: float) -> Sequence[float]:
-        """Return the demands that the group's other members last reported."""
-        held = self._peers.get(service)
-        return held.demands(now_s) if held is not None else ()
+        """Return the last demand that each other member of the group reported."""
+        peer_demands = self._peers.get(service)
+        return peer_demands.demands(now_s) if peer_demands is not None else ()
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            self._tell(asyncio.get_running_loop().time())
+            self._report_demands(asyncio.get_running_loop().time())
 
-    def _tell(self, now_s: float) -> None:
+    def _report_demands(self, now_s: float) -> None:
         demands = self._own_demands()
-        for gone in self._reporters.keys() - demands.keys():
-            del self._reporters[gone]
-            self._peers.pop(gone, None)
+        for service in self._reporters.keys() - demands.keys():
+            del self._reporters[service]
+            self._peers.pop(service, None)
         for service, demand in demands.items():
             reporter = self._reporters.setdefault(service, DemandReporter(service))
             report = reporter.next_report(demand, now_s)
@@ -78,6 +78,6 @@
 
     async def _on_report(self, sender: Incarnation, report: DemandReport) -> Message | None:
         now_s = asyncio.get_running_loop().time()
-        held = self._peers.setdefault(report.service, PeerDemands())
-        held.record_report(sender.instance, report, now_s)
+        peer_demands = self._peers.setdefault(report.service, PeerDemands())
+        peer_demands.record_report(sender.instance, report, now_s)
         return None
--- a/src/egretrail/runtime/_key_prefixes.py
+++ b/src/egretrail/runtime/_key_prefixes.py
@@ -1,4 +1,4 @@
-"""The key prefixes of other homes, as resolve answers name them."""
+"""Caches the key prefixes of other homes for the directory's resolve responses."""
 
 import asyncio
 from collections import OrderedDict
@@ -9,59 +9,59 @@
 from egretrail.identity import Incarnation
 from egretrail.peer import PeerNetwork
 
-#: A prefix is asked for again after this, in the background.
+#: A prefix older than this is refreshed in the background.
 _FRESH_S = 5.0
-#: A prefix older than this is not named: its generation may take no more keys by the time that
-#: callers, who keep the answer for a while, use it.
+#: A prefix older than this is not issued: clients cache the response, and by the time they use the
+#: prefix its generation may accept no more keys.
 _STALE_S = 30.0
 _TIMEOUT_S = 0.5
-#: Homes that are remembered. Load: an instance names the homes of the services asked of it. Harm
-#: prevented: memory that grows with the fleet's restarts.
-_HOMES_COUNT = 4096
+#: Most homes in the cache. An instance caches the homes of the services that clients resolve there.
+#: Without a limit, memory would grow with every restart in the fleet.
+_CACHED_HOMES_LIMIT = 4096
 
 
 class KeyPrefixes:
-    """Remembers the prefixes that other homes give out."""
+    """Cache of the prefixes that other homes issue."""
 
     def __init__(self, network: PeerNetwork) -> None:
         self._network = network
-        self._known: OrderedDict[Incarnation, tuple[str, float]] = OrderedDict()
-        self._asking: dict[Incarnation, asyncio.Task[str | None]] = {}
+        self._cache: OrderedDict[Incarnation, tuple[str, float]] = OrderedDict()
+        self._fetches: dict[Incarnation, asyncio.Task[str | None]] = {}
 
-    def known(self, home: Incarnation) -> str | None:
-        """Return a home's prefix if it is at hand, and have it asked for if it is not fresh."""
+    def cached(self, home: Incarnation) -> str | None:
+        """Return a home's cached prefix or None; start a refresh if it is not fresh."""
         now_s = asyncio.get_running_loop().time()
-        prefix, asked_s = self._known.get(home, ("", -_STALE_S))
+        prefix, asked_s = self._cache.get(home, ("", -_STALE_S))
         if now_s - asked_s >= _FRESH_S:
-            self._ask(home)
+            self._start_fetch(home)
         return prefix if now_s - asked_s < _STALE_S else None
 
     async def fetch(self, home: Incarnation) -> str | None:
-        """Return a home's prefix, asking for it if it is not at hand."""
-        return self.known(home) or await asyncio.shield(self._ask(home))
+        """Return a home's prefix, asking the home if it is not cached; None when it has none."""
+        return self.cached(home) or await asyncio.shield(self._start_fetch(home))
 
     async def stop(self) -> None:
-        """End the questions that are under way."""
-        tasks = list(self._asking.values())
+        """Cancel all pending fetches."""
+        tasks = list(self._fetches.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _ask(self, home: Incarnation) -> asyncio.Task[str | None]:
-        """Ask a home, once at a time however many callers wait for its prefix."""
-        task = self._asking.get(home)
+    def _start_fetch(self, home: Incarnation) -> asyncio.Task[str | None]:
+        """Fetch a home's prefix; concurrent callers share one fetch."""
+        task = self._fetches.get(home)
         if task is None:
-            task = asyncio.get_running_loop().create_task(self._ask_home(home))
-            self._asking[home] = task
-            task.add_done_callback(lambda _done: self._asking.pop(home, None))
+            task = asyncio.get_running_loop().create_task(self._fetch_prefix(home))
+            self._fetches[home] = task
+            task.add_done_callback(lambda _done: self._fetches.pop(home, None))
         return task
 
-    async def _ask_home(self, home: Incarnation) -> str | None:
+    async def _fetch_prefix(self, home: Incarnation) -> str | None:
         asked = await self._network.ask(home.instance, AskPrefix(), PrefixReply, _TIMEOUT_S)
         prefix = asked.ok_value.prefix if isinstance(asked, Ok) else None
-        self._known.pop(home, None)
+        self._cache.pop(home, None)
         if prefix is not None:
-            self._known[home] = (prefix, asyncio.get_running_loop().time())
-            while len(self._known) > _HOMES_COUNT:
-                self._known.popitem(last=False)
+            self._cache[home] = (prefix, asyncio.get_running_loop().time())
+            while len(self._cache) > _CACHED_HOMES_LIMIT:
+                self._cache.popitem(last=False)
         return prefix
--- a/src/egretrail/runtime/_keyed_home.py
+++ b/src/egretrail/runtime/_keyed_home.py
@@ -1,4 +1,4 @@
-"""Runs the keys of this home: recorded at the witness, dispatched once, the outcome kept."""
+"""Runs keys of this home: records each at its witness, dispatches it once, stores the outcome."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -31,19 +31,21 @@
 from egretrail.request import Answer, Outcome, Refusal, RefusalCause, RequestEnvelope
 from egretrail.wire import Acknowledged
 
-#: Places one request and returns the upstream's answer, or a refusal that tells what became of it.
+#: Sends one request to an upstream and returns its answer, or a refusal that states the outcome.
 Execute = Callable[[RequestEnvelope], Awaitable[Answer]]
 
-#: A reply is held this long for an answer to come; then the asker learns that the home is alive.
-#: Short, so that an asker takes a silence of twice this for an unreachable home.
+#: A reply is held back this long for the answer; then the requester gets a reply that the key is
+#: still running. Short, so that a requester can treat a home that is silent for more than twice
+#: this time as unreachable.
 HOLD_S = 0.3
-#: How long one try of a record may take. Load: every non-idempotent request waits for it, so a lost
-#: message must cost little; a round trip between availability zones takes some 2 ms.
+#: Time limit for one attempt to record a key. Every non-idempotent request waits for the record, so
+#: a lost message must cost little; a round trip between availability zones takes about 2 ms.
 _RECORD_TIMEOUT_S = 0.4
 _RECORD_TRIES = 2
-_KEEP_TIMEOUT_S = 1.0
-#: Outcomes sent again at once. Prevents a healed cut from flooding the witness.
-_KEEP_AGAIN_COUNT = 16
+_STORE_TIMEOUT_S = 1.0
+#: Outcomes sent again at one time. Without a limit, the end of a network partition would flood the
+#: witness.
+_RESENT_OUTCOMES_LIMIT = 16
 _DRAIN_STEP_S = 0.05
 _DEADLINE_PASSED = Refusal(Outcome.NOT_RUN, RefusalCause.DEADLINE, 1.0)
 _log = structlog.get_logger()
@@ -51,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Drained:
-    """What a planned stop left behind."""
+    """What was left when a planned stop ended."""
 
-    #: Keys whose work had not ended.
+    #: Keys whose request was still running.
     unsettled_count: int
     #: Outcomes that no witness has confirmed.
     unkept_count: int
 
 
 class KeyedHome:
-    """Drives the home's side of the protocol."""
+    """Runs the home's side of the protocol."""
 
     def __init__(
         self,
@@ -73,20 +75,20 @@
         self._home = home
         self._execute = execute
         self._on_generation_lost = on_generation_lost
-        self._waiting: dict[IdempotencyKey, asyncio.Future[Answer]] = {}
+        self._pending: dict[IdempotencyKey, asyncio.Future[Answer]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def begin(
+    def start_request(
         self, key: IdempotencyKey, binding: bytes, request: RequestEnvelope
     ) -> asyncio.Future[Answer]:
-        """Take a request; the future's answer comes whether or not somebody waits for it."""
+        """Start a request, or join one that runs; the work goes on even if nobody awaits it."""
         step = self._home.on_request(key, binding)
         if isinstance(step, Reply):
-            return _settled(step.answer)
+            return _completed_future(step.answer)
         if isinstance(step, Join):
-            return self._waiting[key]
+            return self._pending[key]
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self._waiting[key] = answer
+        self._pending[key] = answer
         until_s = asyncio.get_running_loop().time() + request.deadline_s
         if isinstance(step, AskWitness):
             self._spawn(self._record_and_run(key, binding, request, until_s))
@@ -94,36 +96,36 @@
             self._spawn(self._run(key, request, until_s))
         return answer
 
-    async def reply(self, answer: asyncio.Future[Answer]) -> KeyedReply:
-        """Hold a peer's question for a moment, and reply with what is known then."""
+    async def wait_and_reply(self, answer: asyncio.Future[Answer]) -> KeyedReply:
+        """Wait up to ``HOLD_S`` for the answer, and reply with what is known then."""
         await asyncio.wait({answer}, timeout=HOLD_S)
         if answer.done():
             return KeyedReply(KeyStanding.ANSWERED, answer.result())
         return KeyedReply(KeyStanding.RUNNING)
 
     async def on_await(self, _sender: Incarnation, body: AwaitKeyed) -> KeyedReply:
-        """Tell a peer what became of a key, starting nothing."""
+        """Reply with the state of a key, without starting its request."""
         known = self._home.on_await(body.key, body.binding)
         if known is None or not self._home.owns(body.key):
             return KeyedReply(KeyStanding.NOT_HERE)
         if isinstance(known, Reply):
             return KeyedReply(KeyStanding.ANSWERED, known.answer)
-        return await self.reply(self._waiting[body.key])
+        return await self.wait_and_reply(self._pending[body.key])
 
-    async def keep_again(self) -> bool:
-        """Send outcomes that no witness has confirmed; return whether none failed."""
-        settled = self._home.unkept(_KEEP_AGAIN_COUNT)
-        kept = await asyncio.gather(*(self._keep(one) for one in settled))
-        return all(kept)
+    async def store_outcomes_again(self) -> bool:
+        """Send outcomes that no witness has confirmed again; return whether all were stored."""
+        settled = self._home.unkept(_RESENT_OUTCOMES_LIMIT)
+        stored = await asyncio.gather(*(self._store_outcome(outcome) for outcome in settled))
+        return all(stored)
 
     async def drain(self, until_s: float) -> Drained:
-        """Take no new keys, finish what runs, and leave every outcome with its witness."""
+        """Accept no new keys, finish running ones, and store each outcome at its witness."""
         for prefix in self._home.stop():
             if prefix.witness is not None:
                 self._network.send(prefix.witness.instance, CloseGeneration(prefix))
         while asyncio.get_running_loop().time() < until_s:
             if self._home.unkept(1):
-                await self.keep_again()
+                await self.store_outcomes_again()
             elif not self._home.unsettled_count():
                 break
             await asyncio.sleep(_DRAIN_STEP_S)
@@ -131,7 +133,7 @@
         return Drained(self._home.unsettled_count(), len(unkept))
 
     async def stop(self) -> None:
-        """End what still runs; its outcome is unknown."""
+        """Cancel running requests; their outcome is unknown."""
         while self._tasks:
             for task in list(self._tasks):
                 task.cancel()
@@ -147,7 +149,7 @@
         elif step is not None:
             self._settle(key, step.answer)
         if verdict in (None, RecordVerdict.REFUSED):
-            # Further keys of this generation would wait in vain, too: refuse them at once.
+            # Other keys of this generation would fail the same way: refuse them at once.
             self._home.close(key.prefix)
             self._on_generation_lost(key.prefix, verdict is not None)
 
@@ -178,20 +180,20 @@
     def _settle(self, key: IdempotencyKey, answer: Answer) -> None:
         settled = self._home.settled(key)
         if settled is not None:
-            self._spawn(self._keep_once(settled))
-        waiting = self._waiting.pop(key, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
+            self._spawn(self._store_outcome_once(settled))
+        pending = self._pending.pop(key, None)
+        if pending is not None and not pending.done():
+            pending.set_result(answer)
 
-    async def _keep_once(self, settled: SettledKey) -> None:
-        await self._keep(settled)
+    async def _store_outcome_once(self, settled: SettledKey) -> None:
+        await self._store_outcome(settled)
 
-    async def _keep(self, settled: SettledKey) -> bool:
+    async def _store_outcome(self, settled: SettledKey) -> bool:
         witness = settled.key.prefix.witness
         if witness is None:
             return True
         body = KeepOutcome(settled.key, settled.binding, settled.answer)
-        asked = await self._network.ask(witness.instance, body, Acknowledged, _KEEP_TIMEOUT_S)
+        asked = await self._network.ask(witness.instance, body, Acknowledged, _STORE_TIMEOUT_S)
         if isinstance(asked, Ok):
             self._home.on_kept(settled.key)
             return True
@@ -204,7 +206,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _settled(answer: Answer) -> asyncio.Future[Answer]:
+def _completed_future(answer: Answer) -> asyncio.Future[Answer]:
     future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
     future.set_result(answer)
     return future
--- a/src/egretrail/runtime/_keyed_receiver.py
+++ b/src/egretrail/runtime/_keyed_receiver.py
@@ -1,4 +1,4 @@
-"""Finds the answer to a keyed request that arrived here: from its home, else from its witness."""
+"""Gets the answer to a keyed request received here from its home, or else from its witness."""
 
 import asyncio
 import random
@@ -23,19 +23,19 @@
 from egretrail.peer import PeerFailure, PeerNetwork
 from egretrail.request import Answer, RecordedAnswer, Refusal, RefusalCause, RequestEnvelope
 from egretrail.runtime._keyed_home import HOLD_S, KeyedHome
-from egretrail.runtime._keyed_witness import HOME_PATIENCE_S, KeyedWitness
+from egretrail.runtime._keyed_witness import HOME_TIMEOUT_S, KeyedWitness
 from egretrail.wire import Message
 
-#: A witness may itself wait for the home before it answers.
-_WITNESS_PATIENCE_S = HOME_PATIENCE_S + 0.3
-#: The home answers by the deadline; its answer has to travel, too.
-_GRACE_S = 0.25
-#: A silence shorter than this was a stream that broke, not a home that is gone.
-_BROKEN_STREAM_S = HOLD_S / 2
+#: Time limit for a witness, which may itself wait for the home before it replies.
+_WITNESS_TIMEOUT_S = HOME_TIMEOUT_S + 0.3
+#: Added to the deadline, by which the home has its answer, for the way back.
+_TRANSFER_S = 0.25
+#: An exchange that fails sooner than this had a broken stream; the home itself is not gone.
+_BROKEN_STREAM_LIMIT_S = HOLD_S / 2
 
 
 class KeyedReceiver:
-    """Holds callers' keyed requests until their answer is known."""
+    """Waits for the answers to clients' keyed requests."""
 
     def __init__(
         self,
@@ -54,22 +54,24 @@
         self._witness = witness
 
     async def answer(self, key: IdempotencyKey, binding: bytes, request: RequestEnvelope) -> Answer:
-        """Return the answer, by a little after the request's deadline at the latest."""
+        """Return the answer, at the latest shortly after the request's deadline."""
         until_s = asyncio.get_running_loop().time() + request.deadline_s
-        answer = await self.find(key, binding, request)
+        answer = await self.find_answer(key, binding, request)
         if answer != HOME_UNREACHABLE:
             return answer
         left_s = until_s - asyncio.get_running_loop().time()
         return await self._relay(key, replace(request, deadline_s=left_s)) or answer
 
-    async def find(self, key: IdempotencyKey, binding: bytes, request: RequestEnvelope) -> Answer:
-        """Return the answer as far as this instance itself can find it."""
-        until_s = asyncio.get_running_loop().time() + request.deadline_s + _GRACE_S
+    async def find_answer(
+        self, key: IdempotencyKey, binding: bytes, request: RequestEnvelope
+    ) -> Answer:
+        """Return the answer that this instance can get from home and witness without a relay."""
+        until_s = asyncio.get_running_loop().time() + request.deadline_s + _TRANSFER_S
         if key.prefix.home == self._own:
             return await self._await_own(key, binding, request, until_s)
         reply = await self._ask_home(key, binding, request, until_s)
         if reply is not None and reply.answer is not None:
-            return await self._whole(key, binding, reply.answer)
+            return await self._complete_answer(key, binding, reply.answer)
         if reply is not None and reply.standing is KeyStanding.RUNNING:
             return STILL_RUNNING
         home_ended = reply is not None
@@ -78,35 +80,35 @@
     async def _await_own(
         self, key: IdempotencyKey, binding: bytes, request: RequestEnvelope, until_s: float
     ) -> Answer:
-        answer = self._home.begin(key, binding, request)
-        # Waits without cancelling: the work goes on to its outcome when the caller goes away.
+        answer = self._home.start_request(key, binding, request)
+        # Waits without cancelling: the work goes on to its outcome even if the client disconnects.
         await asyncio.wait({answer}, timeout=until_s - asyncio.get_running_loop().time())
         return answer.result() if answer.done() else STILL_RUNNING
 
     async def _ask_home(
         self, key: IdempotencyKey, binding: bytes, request: RequestEnvelope, until_s: float
     ) -> KeyedReply | None:
-        """Return what the home says, None when it cannot be reached."""
+        """Return the home's reply; None when it cannot be reached."""
         body: RunKeyed | AwaitKeyed = RunKeyed(request)
         while True:
-            asked = await self._ask_twice(key.prefix.home.instance, body, HOME_PATIENCE_S)
+            asked = await self._ask_with_retry(key.prefix.home.instance, body, HOME_TIMEOUT_S)
             if not isinstance(asked, Ok):
                 return None
             reply = asked.ok_value
-            if reply.standing is not KeyStanding.RUNNING or _past(until_s):
+            if reply.standing is not KeyStanding.RUNNING or _has_passed(until_s):
                 return reply
             body = AwaitKeyed(key, binding)
 
-    async def _ask_twice(
-        self, peer: InstanceName, body: Message, patience_s: float
+    async def _ask_with_retry(
+        self, peer: InstanceName, body: Message, timeout_s: float
     ) -> Result[KeyedReply, PeerFailure]:
-        """Ask, and once more if only a stream broke; a second question changes nothing."""
+        """Ask a peer, and ask again if only the stream broke; these requests are idempotent."""
         asked_s = asyncio.get_running_loop().time()
-        asked = await self._network.ask(peer, body, KeyedReply, patience_s)
+        asked = await self._network.ask(peer, body, KeyedReply, timeout_s)
         waited_s = asyncio.get_running_loop().time() - asked_s
-        if isinstance(asked, Ok) or waited_s > _BROKEN_STREAM_S:
+        if isinstance(asked, Ok) or waited_s > _BROKEN_STREAM_LIMIT_S:
             return asked
-        return await self._network.ask(peer, body, KeyedReply, patience_s)
+        return await self._network.ask(peer, body, KeyedReply, timeout_s)
 
     async def _ask_witness(
         self, key: IdempotencyKey, binding: bytes, until_s: float, home_ended: bool
@@ -122,7 +124,7 @@
                 return reply.answer
             if reply.standing is KeyStanding.NOT_HERE:
                 return unknown
-            if _past(until_s):
+            if _has_passed(until_s):
                 return STILL_RUNNING
 
     async def _query(self, key: IdempotencyKey, binding: bytes) -> KeyedReply | None:
@@ -131,26 +133,26 @@
             return await self._witness.query(key, binding)
         peer = key.prefix.witness.instance
         body = QueryWitness(key, binding)
-        asked = await self._ask_twice(peer, body, _WITNESS_PATIENCE_S)
+        asked = await self._ask_with_retry(peer, body, _WITNESS_TIMEOUT_S)
         return asked.ok_value if isinstance(asked, Ok) else None
 
     async def _relay(self, key: IdempotencyKey, request: RequestEnvelope) -> Answer | None:
-        """Have another instance look for the answer, in case only this one is cut off.
+        """Have another instance look for the answer, in case only this one is partitioned.
 
-        Load: when home and witness are both lost, each of their keys' resends costs one more
-        message; a second relay would cost as much again and find no more.
+        When home and witness are both lost, this costs one more message for each resend of their
+        keys. A second relay would double that cost and find nothing more.
         """
         known = {self._own, key.prefix.home, key.prefix.witness}
-        others = [m for m in self._view.members() if m.incarnation not in known]
-        alive = [m for m in others if m.state is MemberState.ALIVE]
+        others = [member for member in self._view.members() if member.incarnation not in known]
+        alive = [member for member in others if member.state is MemberState.ALIVE]
         if not alive or request.deadline_s <= 0:
             return None
         peer = self._rng.choice(alive).name
         asked = await self._network.ask(peer, RelayKeyed(request), KeyedReply, request.deadline_s)
         return asked.ok_value.answer if isinstance(asked, Ok) else None
 
-    async def _whole(self, key: IdempotencyKey, binding: bytes, answer: Answer) -> Answer:
-        """Return the home's answer; where it has dropped the body, the witness's copy."""
+    async def _complete_answer(self, key: IdempotencyKey, binding: bytes, answer: Answer) -> Answer:
+        """Return the home's answer, or the witness's copy if the home no longer holds the body."""
         dropped = isinstance(answer, Refusal) and answer.cause is RefusalCause.ANSWER_DROPPED
         if not dropped or key.prefix.witness is None:
             return answer
@@ -159,5 +161,5 @@
         return copy if isinstance(copy, RecordedAnswer) else answer
 
 
-def _past(until_s: float) -> bool:
+def _has_passed(until_s: float) -> bool:
     return asyncio.get_running_loop().time() >= until_s
--- a/src/egretrail/runtime/_keyed_witness.py
+++ b/src/egretrail/runtime/_keyed_witness.py
@@ -1,4 +1,4 @@
-"""Records other instances' keys, and answers for homes that cannot be reached."""
+"""Records keys of other instances, and answers for homes that cannot be reached."""
 
 import asyncio
 
@@ -26,12 +26,12 @@
 from egretrail.request import Answer
 from egretrail.wire import Acknowledged
 
-#: How long a home may be silent before it counts as unreachable; it replies within ``HOLD_S``.
-HOME_PATIENCE_S = 0.8
+#: A home that sends no reply for this long counts as unreachable; it replies within ``HOLD_S``.
+HOME_TIMEOUT_S = 0.8
 
 
 class KeyedWitness:
-    """Drives the witness's side of the protocol."""
+    """Runs the witness's side of the protocol."""
 
     def __init__(self, own: Incarnation, network: PeerNetwork, witness: Witness) -> None:
         self._own = own
@@ -40,7 +40,7 @@
         self._stopping = False
 
     def start(self) -> None:
-        """Answer homes and receivers from now on."""
+        """Start handling messages of homes and receivers."""
         self._network.on(OpenGeneration, self._on_open)
         self._network.on(RecordKey, self._on_record)
         self._network.on(KeepOutcome, self._on_outcome)
@@ -52,10 +52,10 @@
         self._stopping = True
 
     async def query(self, key: IdempotencyKey, binding: bytes) -> KeyedReply:
-        """Tell what became of a key whose home the asker cannot reach.
+        """Return the state of a key whose home the requester cannot reach.
 
-        A key that was recorded may still be at work at a home which only the asker cannot reach:
-        the witness asks the home before it says that nothing is known.
+        A recorded key may still be running at a home that only the requester cannot reach. The
+        witness therefore asks the home before it replies that the outcome is unknown.
         """
         if key.prefix.witness != self._own:
             return KeyedReply(KeyStanding.NOT_HERE)
@@ -64,19 +64,19 @@
             return KeyedReply(KeyStanding.ANSWERED, answer)
         body = AwaitKeyed(key, binding)
         home = key.prefix.home.instance
-        asked = await self._network.ask(home, body, KeyedReply, HOME_PATIENCE_S)
+        asked = await self._network.ask(home, body, KeyedReply, HOME_TIMEOUT_S)
         if isinstance(asked, Ok) and asked.ok_value.standing is KeyStanding.RUNNING:
             return asked.ok_value
         if isinstance(asked, Ok) and asked.ok_value.answer not in (None, KEY_REUSED):
-            self._adopt(key, binding, asked.ok_value.answer)
-        gone = isinstance(asked, Ok) and asked.ok_value.standing is KeyStanding.NOT_HERE
-        # The outcome may have come by itself meanwhile.
+            self._record_outcome(key, binding, asked.ok_value.answer)
+        home_ended = isinstance(asked, Ok) and asked.ok_value.standing is KeyStanding.NOT_HERE
+        # The home may have sent the outcome in the meantime.
         answer = self._witness.on_query(key, binding)
         return KeyedReply(
-            KeyStanding.ANSWERED, answer or (RECORD_LOST if gone else HOME_UNREACHABLE)
+            KeyStanding.ANSWERED, answer or (RECORD_LOST if home_ended else HOME_UNREACHABLE)
         )
 
-    def _adopt(self, key: IdempotencyKey, binding: bytes, answer: Answer | None) -> None:
+    def _record_outcome(self, key: IdempotencyKey, binding: bytes, answer: Answer | None) -> None:
         if answer is not None:
             self._witness.on_outcome(key.prefix.home, key, binding, answer)
 
--- a/src/egretrail/runtime/_membership.py
+++ b/src/egretrail/runtime/_membership.py
@@ -1,4 +1,4 @@
-"""Runs the membership protocol: heartbeats, comparisons of tables, readings of the list."""
+"""Runs the membership protocol: probes, anti-entropy syncs and reads of the instance list."""
 
 import asyncio
 import random
@@ -33,27 +33,29 @@
 
 #: The service under which the platform lists the fleet's own instances.
 FLEET_SERVICE = "egretrail"
-#: Instances that read the list at the full rate; three survive the loss of a zone and a failure.
+#: Instances that read the list at the full rate. With three, one is left after the loss of a zone
+#: and one further failure.
 _LIST_READERS = 3
-#: The other instances together read the list once in this many intervals each second or so, at
-#: any size of the fleet, so that nobody depends on the readers.
+#: Fewest list intervals between two reads by an instance that is not a reader. In a larger fleet it
+#: is the fleet's size, so that the rate of all of them together stays constant and no instance
+#: depends on the readers.
 _FALLBACK_INTERVALS = 10
-#: Peers that a new or leaving instance tells at once.
-_ANNOUNCED_PEERS = 3
-#: Candidates that are offered as witnesses for one home.
+#: Peers that a starting or leaving instance notifies at once.
+_NOTIFIED_PEERS = 3
+#: Witness candidates returned for one home.
 _WITNESS_CANDIDATES = 6
-#: A peer whose probes failed is taken as unreachable from here until probes of it succeed, or
-#: for this many probe rounds without a new probe.
+#: A peer whose probe failed counts as unreachable from this instance until a probe succeeds, or
+#: for this long if it is not probed again.
 _PATH_FAULT_S = 60.0
 
 _log = structlog.get_logger()
 
-#: Receives every successful reading of the platform's list.
+#: Called with the rows of every successful read of the platform's instance list.
 ListListener = Callable[[Sequence[ListedInstance]], Awaitable[None]]
 
 
 class MembershipDriver(FleetView):
-    """Keeps one instance's view of the fleet, and is its directory of peers."""
+    """Maintains one instance's view of the fleet, and resolves the addresses of peers."""
 
     def __init__(
         self,
@@ -78,41 +80,41 @@
         self._index = GroupIndex()
         self._indexed_changes = -1
         self._indexed_until_s = 0.0
-        #: Groups as they were asked for since the last change. Load: each request asks.
+        #: Cache of the groups returned since the last change, because each request looks one up.
         self._groups: dict[tuple[ServiceName, int], Sequence[Member]] = {}
-        self._path_faults: dict[InstanceName, float] = {}
+        self._unreachable_until_s: dict[InstanceName, float] = {}
         self._listeners: list[ListListener] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Read the list, greet a few instances on it, and begin the heartbeats."""
+        """Read the list, join through a few instances on it, and start probing."""
         self._network.on(Ping, self._on_ping)
         self._network.on(IndirectPing, self._on_indirect_ping)
         self._network.on(SyncRequest, self._on_sync_ask)
         await self.read_list()
-        await self._greet()
+        await self._join()
         self._spawn(self._probe_forever())
         self._spawn(self._sync_forever())
         self._spawn(self._read_list_forever())
 
     async def stop(self) -> None:
-        """Say farewell to a few instances and stop."""
+        """Announce the end of this instance to a few peers and stop."""
         self._table.set_own(_now_s(), state=RumourState.ENDED)
-        await self._tell_some()
+        await self._notify_some_peers()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     @property
     def own(self) -> Member:
-        """Return the instance that asks."""
+        """Return this instance's own member entry."""
         member = self._table.member(self._table.own.instance)
         assert member is not None
         return member
 
     @property
     def changes(self) -> int:
-        """Return a number that rises whenever some member changed."""
+        """Return a counter that is increased whenever a member changes."""
         return self._table.changes
 
     def members(self) -> Sequence[Member]:
@@ -124,17 +126,17 @@
         return self._table.member(name)
 
     def group(self, service: ServiceName) -> Sequence[Member]:
-        """Return the members that serve a service, most preferred first; leaving ones are not."""
+        """Return the members that serve a service, most preferred first, without leaving ones."""
         self._refresh_index()
         size = self._group_size_of(service)
         group = self._groups.get((service, size))
         if group is None:
-            group = self._named(self._index.choose(str(service), size))
+            group = self._members_by_name(self._index.choose(str(service), size))
             self._groups[service, size] = group
         return group
 
     def witness_candidates(self, home: InstanceName) -> Sequence[Member]:
-        """Return ready members that may witness for a home, those of other zones first.
+        """Return ready members that may be a home's witness, those of other zones first.
 
         Members that this instance cannot reach itself come last: the home may still reach them.
         """
@@ -143,26 +145,26 @@
         zone = known.availability_zone if known is not None else None
         names = self._index.choose(f"witness/{home}", _WITNESS_CANDIDATES + 1, zone)
         others = [name for name in names if name != home][:_WITNESS_CANDIDATES]
-        return self._named(sorted(others, key=self.cannot_reach))
+        return self._members_by_name(sorted(others, key=self.cannot_reach))
 
     def address(self, name: InstanceName) -> tuple[str, int] | None:
-        """Return where an instance takes peer streams; the directory of the peer network."""
+        """Return the peer address of an instance, None if unknown; used by the peer network."""
         member = self._table.member(name)
         return (member.peer_host, member.peer_port) if member is not None else None
 
     def cannot_reach(self, name: InstanceName) -> bool:
-        """Return whether this instance itself gets no answers, though others may."""
+        """Return whether this instance gets no replies from a member; others may still get them."""
         member = self._table.member(name)
         if member is None or member.state is MemberState.UNREACHABLE:
             return True
-        return self._path_faults.get(name, 0.0) > _now_s()
+        return self._unreachable_until_s.get(name, 0.0) > _now_s()
 
     def note_path(self, name: InstanceName, answers: bool) -> None:
-        """Take in whether an exchange of another driver with a peer was answered."""
+        """Record whether a peer replied to an exchange of another driver."""
         if answers:
-            self._path_faults.pop(name, None)
+            self._unreachable_until_s.pop(name, None)
         else:
-            self._path_faults[name] = _now_s() + _PATH_FAULT_S
+            self._unreachable_until_s[name] = _now_s() + _PATH_FAULT_S
 
     def is_gone(self, process: Incarnation) -> bool:
         """Return whether a process is proved to have ended; being unreachable is no proof."""
@@ -175,7 +177,7 @@
 
     @property
     def reads_list(self) -> bool:
-        """Return whether this instance is one of the readers."""
+        """Return whether this instance is one of the list readers."""
         return self._table.own.instance in self.list_readers()
 
     def is_name_gone(self, name: InstanceName) -> bool:
@@ -183,18 +185,18 @@
         return self._table.is_name_gone(name, _now_s())
 
     def on_list(self, listener: ListListener) -> None:
-        """Let ``listener`` take every reading of the platform's list that this instance makes."""
+        """Call ``listener`` with every read of the platform's list by this instance."""
         self._listeners.append(listener)
 
     async def announce_ready(self) -> None:
-        """Tell the fleet that this instance holds the settings and may be named to callers."""
+        """Announce that this instance held_untils_s the settings and may be returned to clients."""
         self._table.set_own(_now_s(), ready=True)
-        await self._tell_some()
+        await self._notify_some_peers()
 
     async def announce_leaving(self) -> None:
-        """Tell the fleet that this instance is stopping: it vanishes from groups."""
+        """Announce that this instance is stopping, which removes it from groups."""
         self._table.set_own(_now_s(), state=RumourState.LEAVING)
-        await self._tell_some()
+        await self._notify_some_peers()
 
     def _refresh_index(self) -> None:
         now_s = _now_s()
@@ -202,20 +204,20 @@
             return
         self._groups.clear()
         self._indexed_changes = self._table.changes
-        holds = []
+        held_untils_s = []
         eligible = []
         for member in self._table.members():
             held_until_s = self._table.held_until_s(member.name)
             if not member.ready or member.state is not MemberState.ALIVE:
                 continue
             if held_until_s > now_s:
-                holds.append(held_until_s)
+                held_untils_s.append(held_until_s)
             else:
                 eligible.append(member)
-        self._indexed_until_s = min(holds, default=float("inf"))
+        self._indexed_until_s = min(held_untils_s, default=float("inf"))
         self._index.update(eligible)
 
-    def _named(self, names: Sequence[InstanceName]) -> Sequence[Member]:
+    def _members_by_name(self, names: Sequence[InstanceName]) -> Sequence[Member]:
         members = [self._table.member(name) for name in names]
         return [member for member in members if member is not None]
 
@@ -232,9 +234,9 @@
         timeout_s = self._tuning.probe_timeout_s * self._slowness.factor
         if await self._ping(target, timeout_s):
             self._slowness.record_response()
-            self._path_faults.pop(target, None)
+            self._unreachable_until_s.pop(target, None)
             return
-        self._path_faults[target] = _now_s() + _PATH_FAULT_S
+        self._unreachable_until_s[target] = _now_s() + _PATH_FAULT_S
         known = self._table.rumour(target)
         if known is None or known.number == UNKNOWN_INCARNATION:
             return
@@ -247,9 +249,9 @@
         answered = [reply.ok_value for reply in replies if isinstance(reply, Ok)]
         self._slowness.record_miss(1 if helpers and not answered else 0)
         reached = [reply.answer for reply in answered if reply.answer is not None]
-        for word in reached:
-            self._table.record_contact(word, _now_s())
-        # When not even the helpers answer, this instance is the likelier cause.
+        for rumour in reached:
+            self._table.record_contact(rumour, _now_s())
+        # If no helper replied either, this instance is more likely at fault than the target.
         if not reached and (answered or not helpers):
             self._table.suspect(target, _now_s())
 
@@ -259,22 +261,22 @@
         if isinstance(answer, Err):
             return False
         self._table.record_contact(answer.ok_value.sender, _now_s())
-        self._absorb(answer.ok_value.rumours)
+        self._apply_rumours(answer.ok_value.rumours)
         return True
 
     def _rumours_for(self, peer: InstanceName) -> Sequence[Rumour]:
-        """Return what rides on a message; a suspected receiver is told so first."""
+        """Return the rumours to piggyback on a message, first a suspicion against the receiver."""
         retransmissions = self._tuning.retransmit_factor * self._tuning.digits(self._table.size)
         rumours = self._table.rumour_queue.next_batch(
             self._tuning.rumours_per_message, retransmissions
         )
         known = self._table.rumour(peer)
-        accused = (RumourState.SUSPECT, RumourState.UNREACHABLE)
-        if known is not None and known.state in accused and known not in rumours:
+        suspicious_states = (RumourState.SUSPECT, RumourState.UNREACHABLE)
+        if known is not None and known.state in suspicious_states and known not in rumours:
             return [known, *rumours]
         return rumours
 
-    def _absorb(self, rumours: Sequence[Rumour]) -> None:
+    def _apply_rumours(self, rumours: Sequence[Rumour]) -> None:
         now_s = _now_s()
         for rumour in rumours:
             self._table.merge_rumour(rumour, now_s)
@@ -283,7 +285,7 @@
         if ping.sender.incarnation != sender:
             return None
         self._table.record_contact(ping.sender, _now_s())
-        self._absorb(ping.rumours)
+        self._apply_rumours(ping.rumours)
         return Pong(self._table.own, self._rumours_for(sender.instance))
 
     async def _on_indirect_ping(self, _: Incarnation, ask: IndirectPing) -> IndirectPong:
@@ -308,44 +310,45 @@
         reply = await self._network.ask(peer, ask, SyncReply, wait_s)
         if isinstance(reply, Err):
             return False
-        self._absorb(reply.ok_value.rumours)
+        self._apply_rumours(reply.ok_value.rumours)
         return True
 
-    async def _greet(self) -> None:
+    async def _join(self) -> None:
         peers = list(self._plan.probe_set(self._table.peers()))
         self._rng.shuffle(peers)
-        for peer in peers[:_ANNOUNCED_PEERS]:
+        for peer in peers[:_NOTIFIED_PEERS]:
             if await self._ping(peer, self._tuning.probe_timeout_s * 2):
                 await self._sync(peer)
 
-    async def _tell_some(self) -> None:
+    async def _notify_some_peers(self) -> None:
         peers = list(self._plan.probe_set(self._table.peers()))
         self._rng.shuffle(peers)
         timeout_s = self._tuning.probe_timeout_s
-        await asyncio.gather(*(self._ping(peer, timeout_s) for peer in peers[:_ANNOUNCED_PEERS]))
+        await asyncio.gather(*(self._ping(peer, timeout_s) for peer in peers[:_NOTIFIED_PEERS]))
 
     async def _read_list_forever(self) -> None:
         while True:
             waited_s = 0.0
             share = self._rng.uniform(0.8, 1.2)
-            # Looked at again and again: who becomes a reader while it waits reads soon.
+            # Checked in every interval, so that an instance that becomes a reader reads soon.
             while waited_s < self._list_wait_s() * share:
                 await asyncio.sleep(self._list_interval_s * share)
                 waited_s += self._list_interval_s * share
             await self.read_list()
 
     def _list_wait_s(self) -> float:
-        """Return how long to wait before the next reading.
+        """Return the delay before the next read of the list.
 
-        Load: the list is read by few at the full rate; all others together add about half a
-        reading a second at any size, so that the list is known even if every reader is cut off.
+        A few readers read the list at the full rate. All other instances together add about half a
+        read a second at any fleet size, so that the list is known even if every reader is
+        partitioned.
         """
         if self.reads_list:
             return self._list_interval_s
         return self._list_interval_s * max(_FALLBACK_INTERVALS, self._table.size)
 
     async def read_list(self) -> bool:
-        """Read the platform's list now; return whether it answered."""
+        """Read the platform's list now; return whether the read succeeded."""
         reading = await self._instance_list.read()
         if isinstance(reading, Err):
             _log.info("instance_list_unavailable", cause=str(reading.err_value))
--- a/src/egretrail/runtime/_problem.py
+++ b/src/egretrail/runtime/_problem.py
@@ -1,4 +1,4 @@
-"""The fleet's own answers as RFC 9457 problem details with a machine-readable outcome."""
+"""Responses of the fleet itself as RFC 9457 problem details with a machine-readable outcome."""
 
 import math
 from collections.abc import Mapping
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One answer of the fleet itself."""
+    """One error response of the fleet itself."""
 
-    #: Names the kind of problem, the last part of its URN.
+    #: The problem type: the last part of its URN.
     name: str
     #: The HTTP status.
     status: int
-    #: One sentence that is the same for all problems of the kind.
+    #: One sentence that is the same for all problems of the type.
     title: str
-    #: What is known about the work that was asked for.
+    #: What is known about whether the request ran.
     outcome: Outcome = Outcome.NOT_RUN
-    #: What is particular about this problem.
+    #: An explanation specific to this occurrence.
     detail: str = ""
-    #: When coming back makes sense; None: it does not.
+    #: Delay after which a retry makes sense; None if it does not.
     retry_after_s: float | None = None
 
     def document(self) -> dict[str, object]:
@@ -42,14 +42,14 @@
         return document
 
     def headers(self) -> dict[str, str]:
-        """Return the header fields that go with the problem."""
+        """Return the problem's header fields."""
         headers = {OUTCOME_HEADER: self.outcome.value}
         if self.retry_after_s is not None:
             headers["Retry-After"] = str(max(1, math.ceil(self.retry_after_s)))
         return headers
 
 
-#: Status and title of each refusal.
+#: HTTP status and title for each refusal cause.
 _REFUSALS: Mapping[RefusalCause, tuple[int, str]] = {
     RefusalCause.QUEUE_FULL: (503, "The service has more work than it can take"),
     RefusalCause.DEADLINE: (504, "The request cannot be answered within its deadline"),
@@ -75,7 +75,7 @@
 
 
 def problem_of(refusal: Refusal) -> Problem:
-    """Return the problem that tells a caller of a refusal."""
+    """Return the problem that reports a refusal to the client."""
     status, title = _REFUSALS[refusal.cause]
     return Problem(
         name=refusal.cause.value,
--- a/src/egretrail/runtime/_report.py
+++ b/src/egretrail/runtime/_report.py
@@ -1,4 +1,4 @@
-"""Gathers what the fleet's instances have counted, over the peer streams alone."""
+"""Collects the counts of all instances over the peer streams."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -18,15 +18,16 @@
 )
 from egretrail.wire import Message
 
-#: An instance that does not answer in this time is named as silent; people wait for the report.
-_ANSWER_S = 2.0
-#: Questions under way at once. At 3,500 instances an unbounded round would open as many streams in
-#: one moment; 50 at a time end within two seconds when all answer within 25 ms.
-_AT_ONCE = 50
+#: An instance that does not reply within this time is reported as silent. Short, because
+#: an operator waits for the report.
+_REPLY_TIMEOUT_S = 2.0
+#: Concurrent requests. Without a limit, 3,500 instances would mean as many new streams at one
+#: moment. With 50 at a time a round takes two seconds if all reply within 25 ms.
+_CONCURRENCY = 50
 
 
 class ReportDriver:
-    """Answers for this instance's counts, and asks the others for theirs when an operator does."""
+    """Replies with this instance's counts, and collects those of all others for an operator."""
 
     def __init__(
         self,
@@ -41,12 +42,12 @@
         self._view = view
         self._settings_revision = settings_revision
         self._objectives = objectives
-        network.on(ReportAsk, self._answer)
+        network.on(ReportAsk, self._on_report_ask)
 
     async def gather(self) -> FleetReport:
-        """Ask every known instance; return what was counted, and who did not answer."""
+        """Ask every known instance; return all counts, and the instances that did not reply."""
         others = [member for member in self._view.members() if member.name != self._view.own.name]
-        slots = asyncio.Semaphore(_AT_ONCE)
+        slots = asyncio.Semaphore(_CONCURRENCY)
         answers = await asyncio.gather(*(self._ask(member, slots) for member in others))
         silent = [
             member.name for member, answer in zip(others, answers, strict=True) if answer is None
@@ -56,12 +57,12 @@
 
     async def _ask(self, member: Member, slots: asyncio.Semaphore) -> InstanceReport | None:
         async with slots:
-            replied = await self._network.ask(
-                InstanceName(member.name), ReportAsk(), InstanceReport, _ANSWER_S
+            reply = await self._network.ask(
+                InstanceName(member.name), ReportAsk(), InstanceReport, _REPLY_TIMEOUT_S
             )
-        return replied.ok_value if isinstance(replied, Ok) else None
+        return reply.ok_value if isinstance(reply, Ok) else None
 
-    async def _answer(self, _sender: Incarnation, _ask: ReportAsk) -> Message:
+    async def _on_report_ask(self, _sender: Incarnation, _ask: ReportAsk) -> Message:
         return self._own_report()
 
     def _own_report(self) -> InstanceReport:
--- a/src/egretrail/runtime/_request_losses.py
+++ b/src/egretrail/runtime/_request_losses.py
@@ -1,4 +1,4 @@
-"""Tells the members of a group which requests upstreams were lost with."""
+"""Reports to a group's members which requests were in flight when an upstream was lost."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Sequence
@@ -19,20 +19,20 @@
 )
 from egretrail.wire import Acknowledged, Message
 
-#: A caller's answer waits at most this long for the group to acknowledge a loss: some hundred
-#: round trips inside a region, and little beside the loss itself.
-TELL_BOUND_S = 0.25
+#: Longest time that a client's response is held back until the group acknowledges a loss. It covers
+#: about a hundred round trips inside a region and is short compared with the loss itself.
+ACKNOWLEDGE_LIMIT_S = 0.25
 
-#: A member that does not acknowledge is told again this often, for this long: it may be behind a
-#: cut that heals, and may see a resend then.
-_AGAIN_S = 1.0
-_GIVEN_UP_AFTER_S = 60.0
+#: A loss is sent again to a member that does not acknowledge it, at this interval and for this
+#: long: the member may be behind a network partition that heals, and may then receive a resend.
+_RESEND_INTERVAL_S = 1.0
+_RESEND_LIMIT_S = 60.0
 
-#: At most this many losses travel in one message to a member that has just joined: 64 KB.
+#: Most losses in one message to a member that has just joined; they take about 64 KB.
 _LOSSES_PER_REPLY = 1000
 
 
-class RequestLossTeller:
+class RequestLossPublisher:
     """Keeps the group's members informed of suspect requests."""
 
     def __init__(
@@ -49,78 +49,84 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start handling messages of peers."""
         self._network.on(RequestLoss, self._on_loss)
         self._network.on(RequestAnswered, self._on_answered)
         self._network.on(FetchRequestLosses, self._on_wanted)
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Cancel all reports in progress."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def met(self, peer: InstanceName, service: ServiceName) -> None:
-        """Ask a member for what it remembers: either has just joined the group, or a cut healed."""
-        self._spawn(self._learn(peer, service))
+    def fetch_losses(self, peer: InstanceName, service: ServiceName) -> None:
+        """Start fetching a member's losses after either joined the group or a partition healed."""
+        self._spawn(self._fetch_losses(peer, service))
 
-    async def lost(
+    async def report_loss(
         self, service: ServiceName, digest: int, upstream: UpstreamName, lasted_s: float
     ) -> None:
-        """Remember a loss and tell the group; return when all know, or after the bound."""
+        """Record a loss and report it; return when all acknowledged it, or after the limit."""
         loss = RequestLoss(service, digest, upstream, lasted_s)
-        self._note(loss, observed_here=True)
+        self._record_loss(loss, observed_here=True)
         acknowledged = [asyncio.Event() for _ in self._peers(service)]
         for peer, event in zip(self._peers(service), acknowledged, strict=True):
-            self._spawn(self._tell(peer, loss, event))
+            self._spawn(self._send_until_acknowledged(peer, loss, event))
         try:
-            async with asyncio.timeout(TELL_BOUND_S):
+            async with asyncio.timeout(ACKNOWLEDGE_LIMIT_S):
                 for event in acknowledged:
                     await event.wait()
         except TimeoutError:
             return
 
-    def answered(self, service: ServiceName, digest: int) -> None:
-        """Clear a request that an upstream answered, at the whole group."""
+    def report_answer(self, service: ServiceName, digest: int) -> None:
+        """Clear the suspicion against a request that an upstream answered, in the whole group."""
         if self._suspects(service).clear(digest):
             for peer in self._peers(service):
                 self._network.send(peer, RequestAnswered(service, digest))
 
-    def _note(self, loss: RequestLoss, observed_here: bool) -> None:
-        """Remember a loss; a second one shows that the request is to blame for the first."""
+    def _record_loss(self, loss: RequestLoss, observed_here: bool) -> None:
+        """Record a loss.
+
+        A loss at a second upstream shows that the request caused the first one, too: that upstream
+        is no longer suspected for it.
+        """
         now_s = asyncio.get_running_loop().time()
         suspects = self._suspects(loss.service)
         digest = loss.request_digest
-        before = [name for name in suspects.lost_upstreams(digest) if name != loss.upstream]
+        earlier = [name for name in suspects.lost_upstreams(digest) if name != loss.upstream]
         suspects.record_loss(digest, loss.upstream, now_s, loss.lasted_s)
-        for name in before:
+        for name in earlier:
             self._health(loss.service).retract_loss(name, observed_here, now_s)
 
-    async def _tell(self, peer: InstanceName, loss: RequestLoss, event: asyncio.Event) -> None:
+    async def _send_until_acknowledged(
+        self, peer: InstanceName, loss: RequestLoss, event: asyncio.Event
+    ) -> None:
         loop = asyncio.get_running_loop()
-        begin_s = loop.time()
-        while loop.time() < begin_s + _GIVEN_UP_AFTER_S:
-            told = replace(loss, lasted_s=loss.lasted_s + loop.time() - begin_s)
-            reply = await self._network.ask(peer, told, Acknowledged, TELL_BOUND_S)
+        started_s = loop.time()
+        while loop.time() < started_s + _RESEND_LIMIT_S:
+            message = replace(loss, lasted_s=loss.lasted_s + loop.time() - started_s)
+            reply = await self._network.ask(peer, message, Acknowledged, ACKNOWLEDGE_LIMIT_S)
             if isinstance(reply, Ok):
                 event.set()
                 return
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RESEND_INTERVAL_S)
 
-    async def _learn(self, peer: InstanceName, service: ServiceName) -> None:
+    async def _fetch_losses(self, peer: InstanceName, service: ServiceName) -> None:
         wanted = FetchRequestLosses(service)
-        reply = await self._network.ask(peer, wanted, RequestLosses, TELL_BOUND_S)
+        reply = await self._network.ask(peer, wanted, RequestLosses, ACKNOWLEDGE_LIMIT_S)
         if isinstance(reply, Ok):
             for loss in reply.ok_value.losses:
-                self._note(loss, observed_here=False)
+                self._record_loss(loss, observed_here=False)
 
     async def _on_loss(self, _sender: Incarnation, loss: RequestLoss) -> Message | None:
-        self._note(loss, observed_here=False)
+        self._record_loss(loss, observed_here=False)
         return Acknowledged()
 
-    async def _on_answered(self, _sender: Incarnation, told: RequestAnswered) -> Message | None:
-        self._suspects(told.service).clear(told.request_digest)
+    async def _on_answered(self, _sender: Incarnation, message: RequestAnswered) -> Message | None:
+        self._suspects(message.service).clear(message.request_digest)
         return None
 
     async def _on_wanted(self, _sender: Incarnation, wanted: FetchRequestLosses) -> Message | None:
--- a/src/egretrail/runtime/_rights_register.py
+++ b/src/egretrail/runtime/_rights_registrar.py
@@ -1,4 +1,4 @@
-"""Registers one instance's rights in the platform's store, and reissues those that nobody holds."""
+"""Registers one instance's rights in the store, and reissues rights that no process holds."""
 
 import abc
 import asyncio
@@ -32,18 +32,18 @@
 from egretrail.store import Store, WriteUnknown
 
 _ASK_TIMEOUT_S = 1.0
-#: Compare-and-swap tries in a row before the next period.
+#: Compare-and-swap attempts before waiting for the next period.
 _SWAP_TRIES = 3
 
 _log = structlog.get_logger()
 
 
 class FloorSource(abc.ABC):
-    """Tells what the allowance of a service is made of, as this instance knows it now."""
+    """Provides the inputs of a service's allowance, as this instance knows them now."""
 
     @abc.abstractmethod
     def services(self) -> Sequence[ServiceName]:
-        """Return the services whose group this instance is in."""
+        """Return the services that this instance is in the group of."""
 
     @abc.abstractmethod
     def floor(self, service: ServiceName) -> int:
@@ -59,23 +59,23 @@
 
 
 class ServiceRights:
-    """One service's state."""
+    """State of one service's ejection rights."""
 
     def __init__(self, timing: RightsTiming, started_s: float) -> None:
         self.holder = RightsHolder(timing, started_s)
         self.honoured = HonouredEjections(timing)
         self.record = FloorRecord()
-        self.hinted_s = float("-inf")
-        self.idle_asked_s = float("-inf")
-        self.register_at_s = float("-inf")
-        self.registered_basis: tuple[int, Sequence[InstanceName]] | None = None
-        self.obtain_at_s = float("-inf")
+        self.last_hint_s = float("-inf")
+        self.last_idle_ask_s = float("-inf")
+        self.next_register_s = float("-inf")
+        self.registered_inputs: tuple[int, Sequence[InstanceName]] | None = None
+        self.next_obtain_s = float("-inf")
         self.pending_revision: int | None = None
         self.lock = asyncio.Lock()
 
 
 class RightsRegistrar:
-    """Keeps the store's records and what this instance holds in line."""
+    """Keeps the store's records and the rights that this instance holds consistent."""
 
     def __init__(
         self,
@@ -93,14 +93,14 @@
         self._own = membership.own.incarnation
 
     async def register(self, service: ServiceName, state: ServiceRights, needed: bool) -> None:
-        """Bring the record in line; with ``needed``, claim whatever right nobody holds."""
+        """Update the record; with ``needed``, claim any right that no process holds."""
         async with state.lock:
             for _ in range(_SWAP_TRIES):
                 if await self._swap(service, state, needed):
                     return
 
     async def _swap(self, service: ServiceName, state: ServiceRights, needed: bool) -> bool:
-        """Read the record and write what should be; return whether there is no more to do now."""
+        """Read the record and write its new state; return whether nothing is left to do now."""
         path = record_path(service)
         read = await self._store.get(path)
         if isinstance(read, Err):
@@ -117,7 +117,7 @@
         if state.pending_revision is not None and state.pending_revision != revision:
             state.holder.unlock_transfers()
             state.pending_revision = None
-        proposal = await self._proposal(service, state, needed)
+        proposal = await self._make_proposal(service, state, needed)
         if proposal is None:
             return True
         return await self._write(path, state, proposal, revision)
@@ -138,16 +138,18 @@
             state.holder.unlock_transfers()
         return isinstance(written, Ok)
 
-    async def _proposal(
+    async def _make_proposal(
         self, service: ServiceName, state: ServiceRights, needed: bool
     ) -> Proposal | None:
-        heirs = [member.name for member in self._membership.group(service)]
-        wanted = self._wanted(service, state, heirs, needed)
+        successors = [member.name for member in self._membership.group(service)]
+        wanted = self._wanted(service, state, successors, needed)
         unheld = [recorded for recorded in state.record.rights if recorded.right.number in wanted]
         promised = [
-            recorded for recorded in unheld if await self._all_promise(service, state, recorded)
+            recorded
+            for recorded in unheld
+            if await self._is_released_by_all(service, state, recorded)
         ]
-        return propose(state.record, state.holder, self._own, heirs, wanted, promised)
+        return propose(state.record, state.holder, self._own, successors, wanted, promised)
 
     def _wanted(
         self,
@@ -156,7 +158,7 @@
         group: Sequence[InstanceName],
         needed: bool,
     ) -> set[int]:
-        """Return the rights to claim: an even share of those that nobody holds, or all at need."""
+        """Return the rights to claim: an even share of those not held here; all if ``needed``."""
         if not group or self._own.instance not in group:
             return set()
         held = {right.number for right in state.holder.rights()}
@@ -166,28 +168,28 @@
             if number not in held and (needed or group[number % len(group)] == self._own.instance)
         }
 
-    async def _all_promise(
+    async def _is_released_by_all(
         self, service: ServiceName, state: ServiceRights, recorded: RecordedRight
     ) -> bool:
-        """Return whether every heir denies to hold the right and will refuse it from now on."""
-        began_s = _now_s()
+        """Return whether every possible holder has promised not to hold or accept the right."""
+        started_s = _now_s()
         right = recorded.right
         owner = recorded.owner
         alive = owner != self._own and not self._membership.is_gone(owner)
         if alive and not await self._promises(owner.instance, service, right):
             return False
-        # Only a fresh reading proves that no process of an heir's name has started since.
+        # Only a new read of the list proves that no process of a successor has started since.
         if not await self._membership.read_list():
             return False
-        asked = required_promises(
+        possible_holders = required_promises(
             recorded, self._own, self._membership.is_gone, self._membership.is_name_gone
         )
-        for name in asked:
+        for name in possible_holders:
             if not await self._promises(name, service, right):
                 return False
         if state.holder.refuse_unless_held(right.number, right.epoch):
             return False
-        return _now_s() - began_s <= self._timing.reissue_window_s
+        return _now_s() - started_s <= self._timing.reissue_window_s
 
     async def _promises(self, name: InstanceName, service: ServiceName, right: Right) -> bool:
         ask = RequestPromise(service, right.number, right.epoch)
--- a/src/egretrail/runtime/_settings.py
+++ b/src/egretrail/runtime/_settings.py
@@ -1,4 +1,4 @@
-"""Keeps an instance's settings in step with the store and the fleet."""
+"""Keeps an instance's settings consistent with the store and the fleet."""
 
 import asyncio
 import random
@@ -15,8 +15,8 @@
 from egretrail.route import RouteTable, existing_conflicts
 from egretrail.runtime._settings_peers import InForce, SettingsPeers
 from egretrail.runtime._settings_policy import SettingsPolicy
+from egretrail.runtime._settings_reader import SettingsReader
 from egretrail.runtime._settings_state import SettingsListener, SettingsState
-from egretrail.runtime._settings_store import SettingsReader
 from egretrail.runtime._settings_writer import SettingsWriter, StoredSetting
 from egretrail.settings import (
     Accepted,
@@ -36,36 +36,36 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsStatus:
-    """How sure an instance is of its settings."""
+    """How current an instance's settings are known to be."""
 
     #: Whether it has caught up since its start or its last pause.
     caught_up: bool
-    #: Live paths.
+    #: Number of live paths.
     paths: int
-    #: The revision up to which it has seen every change.
+    #: The revision up to which the instance has received every change.
     complete_revision: int
-    #: The root of its digests, equal on instances that hold the same.
+    #: The root of the digest tree; equal on instances that hold the same settings.
     root: int
-    #: How long ago the store confirmed what is held; None: never.
+    #: Time since the store last confirmed the settings held here; None if it never did.
     confirmed_age_s: float | None
-    #: How long ago a caught-up peer or the store was compared with; None: never.
+    #: Time since the last comparison with a caught-up peer or the store; None if there was none.
     compared_age_s: float | None
-    #: Whether it keeps the store's watch.
+    #: Whether the instance watches the store.
     watches: bool
-    #: Set while the store shows an older state than the fleet.
+    #: Set while the store returns an older state than the fleet holds.
     behind: StoreBehind | None
-    #: Values that cannot be read; their last readable one is in force.
+    #: Values that cannot be parsed; for each path the last valid value stays in force.
     issues: Sequence[InvalidSettings]
-    #: Contradictions between paths that operators left by a race.
+    #: Contradictions between paths, left by concurrent changes of operators.
     conflicts: Sequence[SettingsFault]
 
 
 class SettingsDriver:
-    """The settings of one instance: read, compared, written and brought into force.
+    """Reads, compares, writes and applies the settings of one instance.
 
-    A few instances keep the store's watch and pass changes on; all compare with random peers now
-    and then. Who has not heard for long that the store confirmed what is held asks it itself, so
-    that nobody watching is only slow.
+    A few instances watch the store and spread changes; all compare with random peers from time to
+    time. An instance whose settings the store has not confirmed for long polls the store itself, so
+    that changes are only delayed if no instance watches.
     """
 
     def __init__(
@@ -89,13 +89,18 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Answer peers and begin to catch up; ``wait_until_caught_up`` tells when it is done."""
-        self._peers.listen()
-        loops = (self._keep_caught_up, self._keep_watch, self._keep_compared, self._keep_polled)
+        """Start handling messages of peers and catching up; see ``wait_until_caught_up``."""
+        self._peers.start()
+        loops = (
+            self._catch_up_forever,
+            self._watch_forever,
+            self._compare_forever,
+            self._poll_forever,
+        )
         self._tasks = [asyncio.create_task(loop()) for loop in loops]
 
     async def stop(self) -> None:
-        """Stop all exchanges; what is held stays readable."""
+        """Stop all exchanges; the settings held here stay readable."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -108,12 +113,12 @@
 
     @property
     def catalogue(self) -> Catalogue:
-        """Return every path that is held, with its generation."""
+        """Return the catalogue of every path held here, with its generation."""
         return self._state.catalogue
 
     @property
     def caught_up(self) -> bool:
-        """Return whether the instance may serve by what it holds."""
+        """Return whether the instance may serve with the settings it holds."""
         return self._peers.caught_up.is_set()
 
     def settings(self) -> FleetSettings:
@@ -125,11 +130,11 @@
         self._state.subscribe(listener)
 
     async def wait_until_caught_up(self) -> None:
-        """Return once the instance may serve: it knows all that was accepted before it started."""
+        """Return once the instance may serve: it has all changes accepted before its start."""
         await self._peers.caught_up.wait()
 
     def status(self) -> SettingsStatus:
-        """Return how sure the instance is of its settings."""
+        """Return how current the instance's settings are known to be."""
         catalogue = self._state.catalogue
         in_force = catalogue.in_force
         return SettingsStatus(
@@ -140,7 +145,7 @@
             confirmed_age_s=self._age_s(self._state.confirmed_at_s),
             compared_age_s=self._age_s(self._state.compared_at_s),
             watches=self._watches(),
-            behind=self._state.behind,
+            behind=self._state.store_behind,
             issues=list(in_force.issues().values()),
             conflicts=existing_conflicts(in_force.settings()),
         )
@@ -148,34 +153,34 @@
     async def put(
         self, path: SettingPath, text: str, expected_revision: int, change_id: str, author: str
     ) -> Result[Accepted, SettingsRefusal]:
-        """Accept a new text for a path (``expected_revision`` 0: it is absent), or refuse it."""
+        """Accept or refuse a new text for a path; ``expected_revision`` 0 means it is absent."""
         return await self._writer.write(path, text, expected_revision, change_id, author)
 
     async def delete(
         self, path: SettingPath, expected_revision: int, change_id: str, author: str
     ) -> Result[Accepted, SettingsRefusal]:
-        """Accept the deletion of a path, or refuse it."""
+        """Accept or refuse the deletion of a path."""
         return await self._writer.write(path, None, expected_revision, change_id, author)
 
     async def read(self, path: SettingPath) -> Result[StoredSetting, SettingsRefusal]:
-        """Read a path with its history from the store."""
+        """Read a path and its history from the store."""
         return await self._writer.read(path)
 
     async def in_force(self, path: SettingPath, generation: int) -> InForce:
         """Ask every member whether a change is in force there."""
         return await self._peers.in_force(str(path), generation)
 
-    async def _keep_caught_up(self) -> None:
+    async def _catch_up_forever(self) -> None:
         """Catch up at the start, and again whenever the process was paused."""
         loop = asyncio.get_running_loop()
         await self._catch_up()
         while True:
-            slept_from_s = loop.time()
+            sleep_started_s = loop.time()
             await asyncio.sleep(1.0)
-            if loop.time() - slept_from_s > 1.0 + self._policy.paused_s:
-                # Load: a process stopped for longer than peers wait. Harm prevented: serving by
-                # settings that changed meanwhile; the reason why it is not named to callers now.
-                _log.warning("settings_paused", paused_s=round(loop.time() - slept_from_s, 1))
+            if loop.time() - sleep_started_s > 1.0 + self._policy.paused_s:
+                # The process was paused for longer than peers wait for it. Until it has caught up,
+                # it must neither serve with old settings nor be returned to clients.
+                _log.warning("settings_paused", paused_s=round(loop.time() - sleep_started_s, 1))
                 self._peers.caught_up.clear()
                 await self._catch_up()
 
@@ -188,10 +193,14 @@
             agreed = await self._compare_with_several()
             confirmed = await self._reader.refresh(0.0)
             waited_s = loop.time() - started_s
-            if confirmed or self._suffices(agreed, waited_s, held_before):
+            if confirmed or self._is_agreement_enough(agreed, waited_s, held_before):
                 break
             if not reported:
-                _log.error("settings_not_caught_up", store_out=self._reader.out, peers=len(agreed))
+                _log.error(
+                    "settings_not_caught_up",
+                    store_out=self._reader.is_store_unreachable,
+                    peers=len(agreed),
+                )
                 reported = True
             await asyncio.sleep(self._jittered(self._policy.retry_s))
         self._peers.caught_up.set()
@@ -203,28 +212,29 @@
             waited_s=round(waited_s, 3),
         )
 
-    def _suffices(self, agreed: Sequence[Member], waited_s: float, held_before: bool) -> bool:
-        """Return whether what peers said is enough to serve while the store is out.
+    def _is_agreement_enough(
+        self, agreed: Sequence[Member], waited_s: float, held_before: bool
+    ) -> bool:
+        """Return whether the agreeing peers suffice to serve while the store is unreachable.
 
-        Harm prevented: an instance that learns from one peer which was itself cut off, and serves
-        by what it held before the cut. Several peers in two zones are not cut off together by one
-        fault; fewer are taken when there are no more, after a while, because a fleet in one zone
-        must be able to replace its instances.
+        A single peer may itself be partitioned and hold old settings. One fault does not partition
+        several peers in two zones together. After a while fewer peers suffice if there are no more,
+        because a fleet in one zone must be able to replace its instances.
         """
         zones = {member.availability_zone for member in agreed}
         enough = len(agreed) >= self._policy.catch_up_peers
         if enough and len(zones) >= self._policy.catch_up_zones:
             return True
-        patient = waited_s >= self._policy.few_peers_after_s
-        return patient and (bool(agreed) or held_before)
+        has_waited = waited_s >= self._policy.few_peers_after_s
+        return has_waited and (bool(agreed) or held_before)
 
     async def _compare_with_several(self) -> Sequence[Member]:
-        asked = self._several()
-        answers = await asyncio.gather(*(self._peers.compare(member.name) for member in asked))
-        return [member for member, agrees in zip(asked, answers, strict=True) if agrees]
+        peers = self._peers_to_compare()
+        answers = await asyncio.gather(*(self._peers.compare(member.name) for member in peers))
+        return [member for member, agrees in zip(peers, answers, strict=True) if agrees]
 
-    def _several(self) -> Sequence[Member]:
-        """Return random members, taking the zones in turn."""
+    def _peers_to_compare(self) -> Sequence[Member]:
+        """Return random members, selected round-robin over the zones."""
         zones: dict[str, list[Member]] = {}
         others = list(self._peers.others())
         self._rng.shuffle(others)
@@ -238,7 +248,7 @@
                     del zones[zone]
         return chosen[: self._policy.catch_up_asked]
 
-    async def _keep_watch(self) -> None:
+    async def _watch_forever(self) -> None:
         while True:
             pause_s = self._jittered(self._policy.watcher_check_s)
             if self._watches():
@@ -248,18 +258,18 @@
                     pause_s = self._jittered(self._retry_s())
             await asyncio.sleep(pause_s)
 
-    async def _keep_compared(self) -> None:
+    async def _compare_forever(self) -> None:
         while True:
             await asyncio.sleep(self._jittered(self._policy.compare_interval_s))
-            # Not waited for: a peer that does not answer must not delay the next comparison.
+            # Not awaited: a peer that does not reply must not delay the next comparison.
             self._peers.compare_with_random()
 
-    async def _keep_polled(self) -> None:
-        """Ask the store when its last confirmation is old.
+    async def _poll_forever(self) -> None:
+        """Poll the store when its last confirmation is old.
 
-        Load: nobody watches, or the store is out for hours. Harm prevented: changes that reach
-        nobody, and 3,500 instances that ask a store which is just coming back. The pause grows
-        with the fleet so that all together keep below a fixed rate.
+        This finds changes when no instance watches. After a store outage of hours, 3,500 instances
+        must not all ask the store while it comes back: the pause grows with the fleet's size, so
+        that all instances together stay below a fixed rate.
         """
         while True:
             fleet_s = len(self._peers.others()) / self._policy.polls_per_s
@@ -270,8 +280,8 @@
                 await self._reader.refresh(0.0)
 
     def _retry_s(self) -> float:
-        # A store that lost writes is read whole each time, until operators have mended it.
-        behind = self._state.behind is not None
+        # A store that lost writes is read in full each time, until operators have repaired it.
+        behind = self._state.store_behind is not None
         return self._policy.stale_after_s if behind else self._policy.retry_s
 
     def _watches(self) -> bool:
--- a/src/egretrail/runtime/_settings_face.py
+++ b/src/egretrail/runtime/_settings_http.py
@@ -1,4 +1,4 @@
-"""The settings on the operators' face: reading, writing, history, differences, who has them."""
+"""The operators' HTTP interface to settings: read, write, history, diff and rollout state."""
 
 import dataclasses
 import difflib
@@ -28,31 +28,31 @@
 
 
 class OperatorTokenMiddleware:
-    """Lets only holders of a token in; without a tokens file all may read and none may write."""
+    """Requires a token; without a tokens file every request may read and none may write."""
 
     def __init__(self, tokens: OperatorTokens | None) -> None:
         self._tokens = tokens
 
     async def process_request(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Find the team whose token the request carries, or refuse the request."""
+        """Set the team that the request's token belongs to, or refuse the request."""
         req.context.team = None
         if self._tokens is None or req.path in _OPEN_PATHS:
             return
         req.context.team = self._tokens.team_of(req.get_header("Authorization"))
         if req.context.team is None:
-            OperatorProblem("no-token", 401, "A team's token is needed").answer(resp)
+            OperatorProblem("no-token", 401, "A team's token is needed").write_to(resp)
             resp.set_header("WWW-Authenticate", "Bearer")
             resp.complete = True
 
 
 def add_settings_routes(app: Any, driver: SettingsDriver) -> None:
-    """Mount the settings on the operators' app, which has the token middleware."""
-    one = "/v1/settings/{team}/{kind}/{name}"
+    """Add the settings routes to the operators' app, which has the token middleware."""
+    path = "/v1/settings/{team}/{kind}/{name}"
     app.add_route("/v1/settings", SettingsResource(driver))
-    app.add_route(one, SettingResource(driver))
-    app.add_route(f"{one}/history", HistoryResource(driver))
-    app.add_route(f"{one}/diff", DiffResource(driver))
-    app.add_route(f"{one}/in-force", InForceResource(driver))
+    app.add_route(path, SettingResource(driver))
+    app.add_route(f"{path}/history", HistoryResource(driver))
+    app.add_route(f"{path}/diff", DiffResource(driver))
+    app.add_route(f"{path}/in-force", InForceResource(driver))
 
 
 class SettingsResource:
@@ -62,7 +62,7 @@
         self._driver = driver
 
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer with every path, or those of one team, and how sure the instance is of them."""
+        """Return every path, or those of one team, and the instance's settings status."""
         team = req.get_param("team")
         live = sorted(self._driver.catalogue.live(), key=lambda change: change.path)
         resp.media = {
@@ -86,14 +86,14 @@
     async def _read(
         self, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> StoredSetting | None:
-        """Return what the store holds for a path; answer with the problem when it cannot."""
+        """Return the store's entry for a path; after a failure send the problem, return None."""
         path = SettingPath.parse(f"{team}/{kind}/{name}")
         if isinstance(path, Err):
-            settings_problem(path.err_value).answer(resp)
+            settings_problem(path.err_value).write_to(resp)
             return None
         stored = await self._driver.read(path.ok_value)
         if isinstance(stored, Err):
-            settings_problem(stored.err_value).answer(resp)
+            settings_problem(stored.err_value).write_to(resp)
             return None
         return stored.ok_value
 
@@ -104,15 +104,15 @@
     async def on_get(
         self, _req: falcon.asgi.Request, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> None:
-        """Answer with the latest change and what is in force here; the latter also in an outage."""
+        """Return the latest change and the value in force here, the latter also in an outage."""
         path = SettingPath.parse(f"{team}/{kind}/{name}")
         if isinstance(path, Err):
-            settings_problem(path.err_value).answer(resp)
+            settings_problem(path.err_value).write_to(resp)
             return
         stored = await self._driver.read(path.ok_value)
         held = self._driver.catalogue.held(str(path.ok_value))
         if isinstance(stored, Err) and (held is None or not isinstance(stored.err_value, StoreOut)):
-            settings_problem(stored.err_value).answer(resp)
+            settings_problem(stored.err_value).write_to(resp)
             return
         latest = None
         if isinstance(stored, Ok):
@@ -130,20 +130,20 @@
     async def on_put(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> None:
-        """Accept a new text at the revision that the operator saw, or refuse it."""
+        """Accept a new text if the path is at the revision that the operator saw."""
         body = await req.stream.read(TEXT_LIMIT_BYTES + 1)
         try:
             text = body.decode()
         except UnicodeDecodeError:
             fault = SettingsFault("", "the text is not UTF-8")
-            settings_problem(InvalidSettings(f"{team}/{kind}/{name}", [fault])).answer(resp)
+            settings_problem(InvalidSettings(f"{team}/{kind}/{name}", [fault])).write_to(resp)
             return
         await self._write(req, resp, f"{team}/{kind}/{name}", text)
 
     async def on_delete(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> None:
-        """Accept the deletion at the revision that the operator saw, or refuse it."""
+        """Accept the deletion if the path is at the revision that the operator saw."""
         await self._write(req, resp, f"{team}/{kind}/{name}", None)
 
     async def _write(
@@ -151,12 +151,14 @@
     ) -> None:
         path = SettingPath.parse(raw)
         if isinstance(path, Err):
-            settings_problem(path.err_value).answer(resp)
+            settings_problem(path.err_value).write_to(resp)
             return
         team = req.context.team
         if team != path.ok_value.team:
             detail = f"only the token of team {path.ok_value.team} may write {raw}"
-            OperatorProblem("not-your-team", 403, "The path is another team's", detail).answer(resp)
+            OperatorProblem("not-your-team", 403, "The path is another team's", detail).write_to(
+                resp
+            )
             return
         revision = req.get_param_as_int("revision", required=True, min_value=0)
         change_id = req.get_param("change_id") or secrets.token_hex(8)
@@ -167,7 +169,7 @@
         else:
             written = await self._driver.put(path.ok_value, text, revision, change_id, author)
         if isinstance(written, Err):
-            settings_problem(written.err_value).answer(resp)
+            settings_problem(written.err_value).write_to(resp)
         else:
             resp.media = dataclasses.asdict(written.ok_value)
 
@@ -178,7 +180,7 @@
     async def on_get(
         self, _req: falcon.asgi.Request, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> None:
-        """Answer with the changes that are kept, newest first."""
+        """Return the retained changes, newest first."""
         stored = await self._read(resp, team, kind, name)
         if stored is not None:
             changes = [dataclasses.asdict(change) for change in _changes(stored)]
@@ -191,7 +193,7 @@
     async def on_get(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> None:
-        """Answer with a unified difference, by default between the last two changes."""
+        """Return a unified diff, by default between the last two changes."""
         stored = await self._read(resp, team, kind, name)
         if stored is None:
             return
@@ -199,12 +201,12 @@
         revisions = [*texts, 0]
         texts[0] = ""
         to = req.get_param_as_int("to", default=revisions[0])
-        default = next((one for one in revisions if one < to), 0)
+        default = next((revision for revision in revisions if revision < to), 0)
         start = req.get_param_as_int("from", default=default)
         missing = [revision for revision in (start, to) if revision not in texts]
         if missing:
             detail = f"kept are {', '.join(map(str, revisions))}"
-            OperatorProblem("no-such-revision", 404, "The revision is not kept", detail).answer(
+            OperatorProblem("no-such-revision", 404, "The revision is not kept", detail).write_to(
                 resp
             )
             return
@@ -219,15 +221,15 @@
 
 
 class InForceResource(_PathResource):
-    """On which instances a change is in force."""
+    """The instances on which a change is in force."""
 
     async def on_get(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response, team: str, kind: str, name: str
     ) -> None:
-        """Ask every instance; by default about the change that is in force here."""
+        """Ask every instance, by default about the change that is in force here."""
         path = SettingPath.parse(f"{team}/{kind}/{name}")
         if isinstance(path, Err):
-            settings_problem(path.err_value).answer(resp)
+            settings_problem(path.err_value).write_to(resp)
             return
         here = self._driver.catalogue.current(str(path.ok_value)).generation
         generation = req.get_param_as_int("generation", default=here)
--- a/src/egretrail/runtime/_settings_peers.py
+++ b/src/egretrail/runtime/_settings_peers.py
@@ -1,4 +1,4 @@
-"""Passes changes of settings on to peers, and compares what is held with theirs."""
+"""Spreads changes of settings to peers, and compares the settings held here with theirs."""
 
 import asyncio
 import random
@@ -26,21 +26,21 @@
 )
 from egretrail.wire import Message
 
-#: Rounds of one comparison that bring the two no closer, because messages are lost or late.
+#: Rounds of one comparison without progress, because messages are lost or late, before it ends.
 _IDLE_ROUNDS_LIMIT = 4
-#: Random draws for each member that is wanted, before fewer are taken.
+#: Random draws per wanted member; after these, fewer members are returned.
 _DRAWS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """On which instances a change is in force."""
+    """The instances on which a change is in force."""
 
-    #: Instances that have it, or a later change of its path.
+    #: Instances that have the change, or a later one of its path.
     have: Sequence[InstanceName]
-    #: Instances that answered that they do not have it yet.
+    #: Instances that replied that they do not have the change yet.
     lack: Sequence[InstanceName]
-    #: Instances that did not answer.
+    #: Instances that did not reply.
     silent: Sequence[InstanceName]
 
 
@@ -66,22 +66,22 @@
         #: Whether this instance has caught up since its start or its last pause.
         self.caught_up = asyncio.Event()
 
-    def listen(self) -> None:
-        """Answer peers from now on."""
+    def start(self) -> None:
+        """Start handling messages of peers."""
         self._network.on(SettingsRun, self._on_run)
         self._network.on(CompareSettings, self._on_compare)
         self._network.on(DifferSettings, self._on_differ)
         self._network.on(AskInForce, self._on_ask_in_force)
 
     async def stop(self) -> None:
-        """End comparisons under way."""
+        """Cancel running comparisons."""
         tasks = list(self._comparing.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def others(self) -> Sequence[Member]:
-        """Return the members that may be asked."""
+        """Return the other members that are not known to be unreachable."""
         members = self._view.members()
         return [
             member
@@ -90,7 +90,7 @@
         ]
 
     def _random_others(self, count: int) -> Collection[InstanceName]:
-        """Return some random members that may be asked, without a pass over all of them."""
+        """Return random members as of ``others``, without a pass over the whole fleet."""
         members = self._view.members()
         chosen: dict[InstanceName, None] = {}
         for _ in range(_DRAWS * count if members else 0):
@@ -102,11 +102,11 @@
         return chosen
 
     def spread(self, run: ChangeRun) -> None:
-        """Pass changes on to a few random peers, who do the same when they are new to them.
+        """Send changes to a few random peers, which forward the changes that are new to them.
 
-        Load: each change reaches 3,500 instances. Harm prevented: one sender with 3,500 sends, or
-        all sending to all. A constant fan-out costs each instance the same at any size; those who
-        are missed find the difference when they compare.
+        Each change has to reach 3,500 instances, without one sender of 3,500 messages and without
+        all instances sending to all others. With a constant fan-out the cost for an instance does
+        not depend on the fleet's size. Instances that are missed find the difference by comparing.
         """
         if not run.changes or len(run.changes) > self._policy.spread_limit_changes:
             return
@@ -114,17 +114,20 @@
             self._network.send(name, SettingsRun(run))
 
     def compare_with_random(self) -> None:
-        """Begin a comparison with one random peer."""
+        """Start a comparison with one random peer."""
         for name in self._random_others(1):
-            self._comparison(name)
+            self._start_comparison(name)
 
     async def compare(self, peer: InstanceName) -> bool:
-        """Compare with a peer; one comparison with each at a time."""
-        return await asyncio.shield(self._comparison(peer))
+        """Compare with a peer and return whether both agree and the peer has caught up.
+
+        Concurrent calls for one peer share a comparison.
+        """
+        return await asyncio.shield(self._start_comparison(peer))
 
     async def in_force(self, path: str, generation: int) -> InForce:
         """Ask every member whether a change is in force there."""
-        limit = asyncio.Semaphore(self._policy.in_force_parallel)
+        semaphore = asyncio.Semaphore(self._policy.in_force_parallel)
         have, lack, silent = [], [], []
         if self._state.catalogue.has_in_force(path, generation):
             have.append(self._own.instance)
@@ -132,10 +135,10 @@
             lack.append(self._own.instance)
 
         async def ask(name: InstanceName) -> None:
-            async with limit:
-                question = AskInForce(path, generation)
+            async with semaphore:
+                request = AskInForce(path, generation)
                 timeout_s = self._policy.ask_timeout_s
-                answer = await self._network.ask(name, question, InForceReply, timeout_s)
+                answer = await self._network.ask(name, request, InForceReply, timeout_s)
             if isinstance(answer, Err):
                 silent.append(name)
             else:
@@ -145,7 +148,7 @@
         await asyncio.gather(*(ask(name) for name in names if name != self._own.instance))
         return InForce(sorted(have), sorted(lack), sorted(silent))
 
-    def _comparison(self, peer: InstanceName) -> asyncio.Task[bool]:
+    def _start_comparison(self, peer: InstanceName) -> asyncio.Task[bool]:
         task = self._comparing.get(peer)
         if task is None:
             task = asyncio.create_task(self._compare(peer))
@@ -154,56 +157,61 @@
         return task
 
     async def _compare(self, peer: InstanceName) -> bool:
-        idle = 0
+        idle_rounds = 0
         before: tuple[int, Sequence[int]] | None = None
-        while idle < _IDLE_ROUNDS_LIMIT:
+        while idle_rounds < _IDLE_ROUNDS_LIMIT:
             root = self._state.catalogue.tree.root
             asked_s = asyncio.get_running_loop().time()
-            question = self._question(root)
+            request = self._comparison_request(root)
             answer = await self._network.ask(
-                peer, question, SettingsCompared, self._policy.ask_timeout_s
+                peer, request, SettingsCompared, self._policy.ask_timeout_s
             )
             if isinstance(answer, Err):
                 return False
             compared = answer.ok_value
             self._state.catalogue.distrust_upto(compared.lost_upto_revision)
             if not compared.buckets:
-                return self._agreed(compared, asked_s)
+                return self._record_agreement(compared, asked_s)
             if len(compared.buckets) != BUCKETS or not await self._pull(peer, compared.buckets):
                 return False
-            idle = idle + 1 if before == (root, compared.buckets) else 0
+            idle_rounds = idle_rounds + 1 if before == (root, compared.buckets) else 0
             before = (root, compared.buckets)
         return False
 
-    def _question(self, root: int) -> CompareSettings:
+    def _comparison_request(self, root: int) -> CompareSettings:
         catalogue = self._state.catalogue
         return CompareSettings(root, catalogue.complete_revision, catalogue.lost_upto_revision)
 
-    def _agreed(self, compared: SettingsCompared, asked_s: float) -> bool:
-        # Both held the same live paths when the peer answered, so that what it had seen is held.
-        self._state.complete_upto(compared.complete_revision)
+    def _record_agreement(self, compared: SettingsCompared, asked_s: float) -> bool:
+        # Both held the same live paths when the peer replied, so this instance holds all changes
+        # that the peer had received.
+        self._state.record_complete_upto(compared.complete_revision)
         if compared.confirmed_age_s is not None:
-            self._state.confirm(asked_s - compared.confirmed_age_s)
+            self._state.record_confirmation(asked_s - compared.confirmed_age_s)
         if compared.caught_up:
             self._state.compared_at_s = asked_s
         return compared.caught_up
 
     async def _pull(self, peer: InstanceName, theirs: Sequence[int]) -> bool:
         catalogue = self._state.catalogue
-        buckets = self._few(catalogue.tree.differing(theirs))
-        question = DifferSettings(buckets, catalogue.marks(buckets))
+        buckets = self._limit_buckets(catalogue.tree.differing(theirs))
+        request = DifferSettings(buckets, catalogue.marks(buckets))
         timeout_s = self._policy.ask_timeout_s
-        answer = await self._network.ask(peer, question, SettingsDifference, timeout_s)
+        answer = await self._network.ask(peer, request, SettingsDifference, timeout_s)
         if isinstance(answer, Err):
             return False
         found = answer.ok_value
         self._state.apply(found.changes)
-        # What the peer holds in an older state, or wants, is sent back as it is known here.
-        older = [c.path for c in found.changes if catalogue.current(c.path).order > c.order]
+        # Paths that the peer holds in an older state, or requests, are sent back as held here.
+        older = [
+            change.path
+            for change in found.changes
+            if catalogue.current(change.path).order > change.order
+        ]
         self._push(peer, [catalogue.current(path) for path in (*older, *found.wanted)])
         return True
 
-    def _few(self, buckets: Sequence[int]) -> Sequence[int]:
+    def _limit_buckets(self, buckets: Sequence[int]) -> Sequence[int]:
         chosen: list[int] = []
         marks = 0
         for number in buckets:
@@ -216,15 +224,15 @@
     def _push(self, peer: InstanceName, changes: Sequence[SettingChange]) -> None:
         step = self._policy.spread_limit_changes
         for start in range(0, len(changes), step):
-            part = changes[start : start + step]
-            self._network.send(peer, SettingsRun(ChangeRun(0, 0, part)))
+            chunk = changes[start : start + step]
+            self._network.send(peer, SettingsRun(ChangeRun(0, 0, chunk)))
 
     async def _on_run(self, sender: Incarnation, body: SettingsRun) -> Message | None:
         outcome = self._state.apply_run(body.run)
         if outcome.applied:
             self.spread(body.run)
         if outcome.gap and not self._comparing:
-            self._comparison(sender.instance)
+            self._start_comparison(sender.instance)
         return None
 
     async def _on_compare(self, _: Incarnation, body: CompareSettings) -> Message | None:
@@ -232,7 +240,7 @@
         catalogue.distrust_upto(body.lost_upto_revision)
         same = body.root == catalogue.tree.root
         if same:
-            self._state.complete_upto(body.complete_revision)
+            self._state.record_complete_upto(body.complete_revision)
         confirmed_at_s = self._state.confirmed_at_s
         now_s = asyncio.get_running_loop().time()
         return SettingsCompared(
--- a/src/egretrail/runtime/_settings_problem.py
+++ b/src/egretrail/runtime/_settings_problem.py
@@ -1,4 +1,4 @@
-"""Refusals of the operators' face as RFC 9457 problem details."""
+"""Refusals of the operators' HTTP interface as RFC 9457 problem details."""
 
 import dataclasses
 import json
@@ -17,27 +17,27 @@
     WriteUnresolved,
 )
 
-#: When an operator may try again while the store is out.
+#: Retry-After for operators while the store is unreachable.
 _STORE_RETRY_AFTER_S = 5
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorProblem:
-    """One refusal."""
+    """One error response to an operator."""
 
-    #: Names the kind of problem, the last part of its URN.
+    #: The problem type: the last part of its URN.
     name: str
     #: The HTTP status.
     status: int
-    #: One sentence that is the same for all problems of the kind.
+    #: One sentence that is the same for all problems of the type.
     title: str
-    #: What is particular about this problem.
+    #: An explanation specific to this occurrence.
     detail: str = ""
     #: Further members of the problem document.
     members: Mapping[str, object] = field(default_factory=dict)
 
-    def answer(self, resp: falcon.asgi.Response) -> None:
-        """Answer with the problem."""
+    def write_to(self, resp: falcon.asgi.Response) -> None:
+        """Write the problem into the response."""
         resp.status = self.status
         resp.content_type = PROBLEM_CONTENT_TYPE
         if self.status == 503:
@@ -49,12 +49,12 @@
             "detail": self.detail,
             **self.members,
         }
-        # The framework writes media only for content types that it knows.
+        # Falcon serializes ``media`` only for content types that it has a handler for.
         resp.text = json.dumps(document)
 
 
 def settings_problem(refusal: SettingsRefusal) -> OperatorProblem:
-    """Return the problem that tells an operator of a refusal."""
+    """Return the problem that reports a refusal to the operator."""
     detail = str(refusal)
     match refusal:
         case InvalidSettings():
--- a/src/egretrail/runtime/_settings_state.py
+++ b/src/egretrail/runtime/_settings_state.py
@@ -1,4 +1,4 @@
-"""The settings an instance holds, kept together with what is derived from them."""
+"""The settings an instance holds, with the route table derived from them."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -19,27 +19,27 @@
     StoreBehind,
 )
 
-#: Is told the paths whose settings changed, after they are in force.
+#: Called with the changed paths, after the changes are in force.
 SettingsListener = Callable[[Sequence[SettingPath]], None]
 
 _log = structlog.get_logger()
 
 
 class SettingsState:
-    """The catalogue, its route table, and how sure this instance is of them."""
+    """The catalogue, its route table, and when they were last confirmed."""
 
     def __init__(self) -> None:
         self.catalogue = Catalogue()
         self.routes = RouteTable()
-        #: When the store last confirmed what is held, by the loop's clock; None: never.
+        #: When the store last confirmed the settings, on the loop's clock; None if never.
         self.confirmed_at_s: float | None = None
-        #: When a caught-up peer or the store was last compared with; None: never.
+        #: Time of the last comparison with a caught-up peer or the store; None if there was none.
         self.compared_at_s: float | None = None
-        #: The store's last answer that was older than the fleet; None once it has caught up.
-        self.behind: StoreBehind | None = None
+        #: Set while the store's last reply was older than the settings held by the fleet.
+        self.store_behind: StoreBehind | None = None
         self._behind_at_s = 0.0
-        #: No path has changed after this revision and up to the complete revision.
-        self.quiet_from_revision = 0
+        #: No path changed between this revision and the catalogue's complete revision.
+        self.unchanged_since_revision = 0
         self._listeners: list[SettingsListener] = []
 
     def subscribe(self, listener: SettingsListener) -> None:
@@ -47,53 +47,53 @@
         self._listeners.append(listener)
 
     def apply(self, changes: Iterable[SettingChange]) -> Sequence[SettingChange]:
-        """Apply changes that claim nothing about others; return what was new."""
+        """Apply single changes without advancing the complete revision; return the new ones."""
         catalogue = self.catalogue
         applied = [change for change in changes if catalogue.apply(change) is Outcome.APPLIED]
         self._bring_into_force(applied)
         return applied
 
     def apply_run(self, run: ChangeRun) -> RunOutcome:
-        """Apply a run of changes."""
+        """Apply a run: all changes between two revisions."""
         before = self.catalogue.complete_revision
         outcome = self.catalogue.apply_run(run)
         if run.changes and self.catalogue.complete_revision > before:
-            self.quiet_from_revision = self.catalogue.complete_revision
+            self.unchanged_since_revision = self.catalogue.complete_revision
         self._bring_into_force(outcome.applied)
         return outcome
 
     def apply_snapshot(
         self, changes: Sequence[SettingChange], revision: int, asked_at_revision: int
     ) -> SnapshotOutcome:
-        """Apply the store's whole content."""
+        """Apply a full snapshot of the store."""
         outcome = self.catalogue.apply_snapshot(changes, revision, asked_at_revision)
-        self.quiet_from_revision = self.catalogue.complete_revision
+        self.unchanged_since_revision = self.catalogue.complete_revision
         self._bring_into_force(outcome.applied)
         return outcome
 
-    def complete_upto(self, revision: int) -> None:
-        """Note that a peer, complete up to a revision, holds the same settings."""
+    def record_complete_upto(self, revision: int) -> None:
+        """Record that a peer that is complete up to a revision holds the same settings."""
         if revision > self.catalogue.complete_revision:
             self.catalogue.complete_upto(revision)
-            self.quiet_from_revision = revision
+            self.unchanged_since_revision = revision
 
-    def confirm(self, at_s: float) -> None:
-        """Note that the store confirmed at a time what is held."""
+    def record_confirmation(self, at_s: float) -> None:
+        """Record that the store confirmed the settings held here at a time."""
         self.confirmed_at_s = max(at_s, self.confirmed_at_s or at_s)
         self.compared_at_s = max(at_s, self.compared_at_s or at_s)
-        if self.behind is not None and at_s > self._behind_at_s:
-            self.behind = None
+        if self.store_behind is not None and at_s > self._behind_at_s:
+            self.store_behind = None
 
-    def report_behind(self, behind: StoreBehind | None, at_s: float) -> None:
-        """Keep and log that the store shows an older state than the fleet, or no longer does."""
-        if behind is not None and behind != self.behind:
+    def record_store_behind(self, behind: StoreBehind | None, at_s: float) -> None:
+        """Record whether the store is behind the fleet (None: it is not), and log a new case."""
+        if behind is not None and behind != self.store_behind:
             _log.error(
                 "settings_store_behind",
                 store_revision=behind.store_revision,
                 held_revision=behind.held_revision,
                 paths=",".join(behind.paths[:10]),
             )
-        self.behind = behind
+        self.store_behind = behind
         self._behind_at_s = at_s
 
     def _bring_into_force(self, applied: Sequence[SettingChange]) -> None:
--- a/src/egretrail/runtime/_settings_writer.py
+++ b/src/egretrail/runtime/_settings_writer.py
@@ -1,4 +1,4 @@
-"""Writes settings into the store by compare-and-swap, and finds out what became of each write."""
+"""Writes settings into the store by compare-and-swap, and resolves the outcome of each write."""
 
 import asyncio
 import time
@@ -37,28 +37,28 @@
 )
 from egretrail.store import Entry, PlatformFailure, RevisionConflict, Store, WriteUnknown
 
-#: Tries to resolve a write whose reply was lost, before the operator is told that it is not known.
-_TRIES = 4
-_TRY_PAUSE_S = 0.25
+#: Attempts to resolve a write whose reply was lost, before it is reported as unresolved.
+_ATTEMPTS_LIMIT = 4
+_RETRY_PAUSE_S = 0.25
 _log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class StoredSetting:
-    """A path's latest accepted change and those before it."""
+    """A path's latest accepted change and its history."""
 
     #: The path.
     path: str
-    #: The generation of the latest change; 0: it never existed.
+    #: The generation of the latest change; 0 if the path never existed.
     revision: int
-    #: The revision that the store holds; lower than the generation only if it lost writes.
+    #: The revision in the store; lower than the generation only if the store lost writes.
     store_revision: int
-    #: The latest change and those before it; None: it never existed.
+    #: The latest change and its history; None if the path never existed.
     envelope: Envelope | None
 
     @property
     def visible_revision(self) -> int:
-        """Return the revision as operators name it: 0 when the path is absent or deleted."""
+        """Return the revision shown to operators: 0 if the path is absent or deleted."""
         deleted = self.envelope is None or self.envelope.latest.text is None
         return 0 if deleted else self.revision
 
@@ -79,11 +79,11 @@
         self._clock = clock
 
     async def read(self, path: SettingPath) -> Result[StoredSetting, SettingsRefusal]:
-        """Read a path with its history from the store."""
+        """Read a path and its history from the store."""
         answer = await self._store.get(STORE_PREFIX + str(path))
         if isinstance(answer, Err):
             return Err(StoreOut(str(path), str(answer.err_value)))
-        return Ok(self._latest(path, answer.ok_value))
+        return Ok(self._stored_setting(path, answer.ok_value))
 
     async def write(
         self,
@@ -93,53 +93,59 @@
         change_id: str,
         author: str,
     ) -> Result[Accepted, SettingsRefusal]:
-        """Put a path's text, or delete it (None), if it is at the revision the operator saw."""
+        """Write a path's text, or delete it (None), if it is at the revision the operator saw."""
         parsed = _parsed(path, text, change_id)
         if isinstance(parsed, Err):
             return parsed
         change = Revised(change_id, author, self._clock(), text)
-        stored = await self._stored(path)
+        stored = await self._read_team(path)
         if isinstance(stored, Err):
             return stored
         done = _resolved(path, stored.ok_value, change)
         if done is not None:
             return done
         if stored.ok_value.visible_revision != expected_revision:
-            return Err(_lost(path, expected_revision, stored.ok_value, change))
-        refusal = self._refusal(path, parsed.ok_value, stored.ok_value)
+            return Err(_lost_race(path, expected_revision, stored.ok_value, change))
+        refusal = self._check(path, parsed.ok_value, stored.ok_value)
         if refusal is not None:
             return Err(refusal)
         accepted = await self._swap(path, stored.ok_value, change)
         if isinstance(accepted, Err):
             return accepted
-        return Ok(await self._concluded(path, change, accepted.ok_value))
+        return Ok(await self._apply_accepted(path, change, accepted.ok_value))
 
-    async def _stored(self, path: SettingPath) -> Result[StoredSetting, SettingsRefusal]:
-        """Read the path's team from the store, so that the checks see all that was accepted."""
+    async def _read_team(self, path: SettingPath) -> Result[StoredSetting, SettingsRefusal]:
+        """Return the path's entry after reading all paths of its team from the store.
+
+        The checks that follow then see every accepted change of the team.
+        """
         seen_revision = self._state.catalogue.highest_revision
         answer = await self._store.snapshot(f"{STORE_PREFIX}{path.team}/")
         if isinstance(answer, Err):
             return Err(StoreOut(str(path), str(answer.err_value)))
         snapshot = answer.ok_value
         if snapshot.revision < seen_revision:
-            # The store lost writes: it would accept this one at a revision that nobody applies.
+            # The store lost writes. It would accept the new text at a revision that instances
+            # ignore, because they hold a later one.
             return Err(StoreBehind(snapshot.revision, seen_revision, [str(path)]))
-        self._state.apply(change_of(e.path, e.value, e.revision) for e in snapshot.entries)
-        entries = [e for e in snapshot.entries if e.path == STORE_PREFIX + str(path)]
-        return Ok(self._latest(path, entries[0] if entries else None))
+        self._state.apply(
+            change_of(entry.path, entry.value, entry.revision) for entry in snapshot.entries
+        )
+        entries = [entry for entry in snapshot.entries if entry.path == STORE_PREFIX + str(path)]
+        return Ok(self._stored_setting(path, entries[0] if entries else None))
 
-    def _latest(self, path: SettingPath, entry: Entry | None) -> StoredSetting:
+    def _stored_setting(self, path: SettingPath, entry: Entry | None) -> StoredSetting:
         revision = 0 if entry is None else entry.revision
         held = self._state.catalogue.held(str(path))
         if held is not None and held.text is not None and held.generation > revision:
-            # A restored store shows less than was accepted: operators go on from what is in force.
+            # A restored store may hold an older state: operators continue from the value in force.
             latest = Revised(held.change_id, "", 0.0, held.text)
             return StoredSetting(str(path), held.generation, revision, Envelope(latest))
         if entry is None or entry.value is None:
             return StoredSetting(str(path), 0, 0, None)
         return StoredSetting(str(path), revision, revision, decode_envelope(entry.value))
 
-    def _refusal(
+    def _check(
         self,
         path: SettingPath,
         value: ServiceSettings | RouteSettings | None,
@@ -154,15 +160,15 @@
     async def _swap(
         self, path: SettingPath, stored: StoredSetting, change: Revised
     ) -> Result[Accepted, SettingsRefusal]:
-        """Write until it is known what became of it.
+        """Write until the outcome is known, or the attempts are used up.
 
-        Each try expects the same revision, so that at most one of them can take effect, a late one
-        included; and each value carries the ids before it, so that reading back shows which did.
+        Every attempt expects the same revision, so that at most one takes effect, even a delayed
+        one. Every value contains the ids of earlier changes, so that a read shows which one did.
         """
         value = _with_change(stored, change).encode()
         cause: PlatformFailure | None = None
         sent = False
-        for _ in range(_TRIES):
+        for _ in range(_ATTEMPTS_LIMIT):
             written = await self._store.put(STORE_PREFIX + str(path), value, stored.store_revision)
             if isinstance(written, Ok):
                 return Ok(Accepted(str(path), written.ok_value, change.change_id))
@@ -176,12 +182,12 @@
                 if done is not None:
                     return done
                 if found.ok_value.store_revision != stored.store_revision:
-                    return Err(_lost(path, stored.visible_revision, found.ok_value, change))
-            await asyncio.sleep(_TRY_PAUSE_S)
+                    return Err(_lost_race(path, stored.visible_revision, found.ok_value, change))
+            await asyncio.sleep(_RETRY_PAUSE_S)
         return Err(WriteUnresolved(str(path), change.change_id, str(cause)))
 
-    async def _concluded(self, path: SettingPath, change: Revised, done: Accepted) -> Accepted:
-        """Bring an accepted change into force here, pass it on, and look for races."""
+    async def _apply_accepted(self, path: SettingPath, change: Revised, done: Accepted) -> Accepted:
+        """Apply an accepted change here, spread it to peers, and check for conflicts."""
         accepted = SettingChange(str(path), done.revision, change.change_id, change.text)
         self._state.apply([accepted])
         self._peers.spread(ChangeRun(done.revision, done.revision, [accepted]))
@@ -199,7 +205,7 @@
         deletes_service = change.text is None and path.kind is SettingKind.SERVICE
         if not deletes_service and (change.text is None or path.kind is SettingKind.SERVICE):
             return []
-        await self._stored(path)
+        await self._read_team(path)
         return existing_conflicts(self._state.catalogue.in_force.settings(), path.team)
 
 
@@ -225,7 +231,7 @@
 def _resolved(
     path: SettingPath, stored: StoredSetting, change: Revised
 ) -> Result[Accepted, SettingsRefusal] | None:
-    """Return what became of a change that the path already knows; None when it does not."""
+    """Return the outcome of a change that is in the path's history; None if it is not there."""
     if stored.envelope is None:
         return None
     known = stored.envelope.find(change.change_id)
@@ -237,6 +243,8 @@
     return Ok(Accepted(str(path), known.revision or stored.revision, change.change_id))
 
 
-def _lost(path: SettingPath, expected: int, stored: StoredSetting, change: Revised) -> LostRace:
+def _lost_race(
+    path: SettingPath, expected: int, stored: StoredSetting, change: Revised
+) -> LostRace:
     theirs = Revised("", "", 0.0, None) if stored.envelope is None else stored.envelope.latest
     return LostRace(str(path), expected, stored.visible_revision, change, theirs)
--- a/src/egretrail/runtime/_upstream_client.py
+++ b/src/egretrail/runtime/_upstream_client.py
@@ -1,7 +1,8 @@
-"""Sends one request to one upstream and says what became of it.
+"""Sends one request to one upstream and classifies the outcome.
 
-The answer is passed on only when it is known to be whole and this request's own: its length is
-stated and kept, its connection carried nothing before it, or the upstream repeats the request's id.
+A response is forwarded only if it is known to be complete and to belong to this request. It must
+be delimited by its length or by chunks, and either its connection carried no earlier request or the
+upstream echoes the request's id.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,7 +16,7 @@
 from egretrail.store import Endpoint
 from egretrail.upstream import AttemptOutcome
 
-#: Fields that belong to one connection (RFC 9110, section 7.6.1), never passed on.
+#: Connection-specific header fields (RFC 9110, section 7.6.1), which are never forwarded.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -29,7 +30,8 @@
         "upgrade",
     }
 )
-#: How upstreams say that they did not work on a request: ``shed`` or ``draining``.
+#: Response header by which an upstream states that it did not run a request: ``shed`` or
+#: ``draining``.
 STATE_HEADER = "X-Upstream-State"
 REQUEST_ID_HEADER = "X-Request-Id"
 DEADLINE_HEADER = "Egretrail-Timeout-S"
@@ -43,18 +45,18 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What is sent to an upstream."""
+    """A request to an upstream."""
 
-    #: The method and the raw target, path and query as the caller sent them.
+    #: The method and the raw target (path and query) as the client sent them.
     method: str
     target: str
-    #: The caller's header fields.
+    #: The client's header fields.
     headers: Sequence[tuple[str, str]]
     #: The whole body.
     body: bytes
-    #: Told to the upstream, which may repeat it.
+    #: Sent to the upstream, which may echo it.
     request_id: str
-    #: A response header that must repeat the request id; empty: not checked.
+    #: A response header that must echo the request id; empty if this is not checked.
     echo_header: str
     #: Whether the connection may have carried earlier requests.
     may_reuse_connection: bool
@@ -62,22 +64,22 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResult:
-    """What became of one attempt."""
+    """The outcome of one attempt."""
 
-    #: What happened; the other fields are an answer's, empty unless one was read whole.
+    #: The outcome. The other fields describe the response; they are empty unless it was read.
     outcome: AttemptOutcome
-    #: The answer's status; 0 when there is none.
+    #: The response's status; 0 if there is no response.
     status: int = 0
-    #: The answer's header fields, without those of the connection.
+    #: The response's header fields, without connection-specific ones.
     headers: tuple[tuple[str, str], ...] = ()
-    #: The answer's whole body.
+    #: The response's whole body.
     body: bytes = b""
-    #: The answer was larger than the limit and was not read; the upstream did the work.
+    #: Whether the response exceeded the size limit and was not read; the upstream ran the request.
     too_large: bool = False
 
     @property
     def certainly_not_run(self) -> bool:
-        """Return whether the upstream certainly did no work on the request."""
+        """Return whether the upstream certainly did not run the request."""
         return self.outcome in (
             AttemptOutcome.REFUSED,
             AttemptOutcome.SHED,
@@ -88,8 +90,8 @@
 _TOO_LARGE = UpstreamResult(AttemptOutcome.ANSWERED, too_large=True)
 
 
-class _Sent:
-    """Set once the request's first byte may have left."""
+class _SendState:
+    """Records whether the request's first byte may have been sent."""
 
     __slots__ = ("sent",)
 
@@ -98,30 +100,32 @@
 
 
 class UpstreamClient:
-    """Connections to upstreams, without redirects, proxies, cookies or decompression."""
+    """HTTP client for upstreams that follows no redirects, uses no proxies or cookies, and does not
+    decompress responses.
+    """
 
     def __init__(self, answer_limit_bytes: int, connect_timeout_s: float = 1.0) -> None:
         self._answer_limit_bytes = answer_limit_bytes
         self._connect_timeout_s = connect_timeout_s
-        self._fresh = self._session(force_close=True)
-        self._reusing = self._session(force_close=False)
+        self._unpooled = self._session(force_close=True)
+        self._pooled = self._session(force_close=False)
 
     async def stop(self) -> None:
         """Close every connection."""
-        await self._fresh.close()
-        await self._reusing.close()
+        await self._unpooled.close()
+        await self._pooled.close()
 
     async def attempt(
         self, endpoint: Endpoint, request: UpstreamRequest, timeout_s: float
     ) -> UpstreamResult:
-        """Send a request once. Cancelling closes its connection, which cancels the work.
+        """Send a request once. Cancelling closes the connection, which cancels the upstream's work.
 
-        A connection is reused only where the upstream repeats request ids: bytes left over from an
-        earlier answer would otherwise be taken for this request's answer.
+        A connection is reused only if the upstream echoes request ids. Otherwise surplus bytes of
+        an earlier response could be taken for this request's response.
         """
         reuse = request.may_reuse_connection and bool(request.echo_header)
-        session = self._reusing if reuse else self._fresh
-        sent = _Sent()
+        session = self._pooled if reuse else self._unpooled
+        sent = _SendState()
         timeout = aiohttp.ClientTimeout(
             total=timeout_s,
             sock_connect=min(timeout_s, self._connect_timeout_s),
@@ -142,18 +146,18 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return UpstreamResult(AttemptOutcome.REFUSED)
         except TimeoutError:
-            known = AttemptOutcome.TIMED_OUT if sent.sent else AttemptOutcome.REFUSED
-            return UpstreamResult(known)
+            outcome = AttemptOutcome.TIMED_OUT if sent.sent else AttemptOutcome.REFUSED
+            return UpstreamResult(outcome)
         except aiohttp.ClientPayloadError:
             return UpstreamResult(AttemptOutcome.TRUNCATED)
         except (aiohttp.ClientError, OSError, ValueError):
-            known = AttemptOutcome.LOST if sent.sent else AttemptOutcome.REFUSED
-            return UpstreamResult(known)
+            outcome = AttemptOutcome.LOST if sent.sent else AttemptOutcome.REFUSED
+            return UpstreamResult(outcome)
 
     async def _read(
         self, request: UpstreamRequest, response: aiohttp.ClientResponse
     ) -> UpstreamResult:
-        if not _states_its_length(request, response):
+        if not _is_delimited(request, response):
             response.close()
             return UpstreamResult(AttemptOutcome.TRUNCATED)
         if (response.content_length or 0) > self._answer_limit_bytes and request.method != "HEAD":
@@ -172,7 +176,7 @@
         outcome = _STATE_OUTCOMES.get(state)
         if outcome is None:
             outcome = AttemptOutcome.FAILED if response.status >= 500 else AttemptOutcome.ANSWERED
-        headers = passed_on(
+        headers = end_to_end_headers(
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in response.raw_headers
         )
@@ -180,7 +184,7 @@
 
     def _session(self, force_close: bool) -> aiohttp.ClientSession:
         tracing = aiohttp.TraceConfig()
-        tracing.on_request_headers_sent.append(_note_sent)
+        tracing.on_request_headers_sent.append(_record_sent)
         return aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=force_close),
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -198,10 +202,10 @@
 async def _never_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Hide lost connections from the library.
+    """Keep aiohttp from resending a request after a lost connection.
 
-    It sends PUT and DELETE a second time after a loss, also on a new connection: work that the
-    route does not call idempotent would run twice.
+    aiohttp sends PUT and DELETE again on another connection after such a loss. Requests that the
+    route does not declare idempotent would then run twice.
     """
     try:
         return await handler(request)
@@ -211,7 +215,7 @@
         raise _ConnectionLostError from error
 
 
-async def _note_sent(
+async def _record_sent(
     _session: aiohttp.ClientSession,
     context: SimpleNamespace,
     _params: aiohttp.TraceRequestHeadersSentParams,
@@ -219,10 +223,10 @@
     context.trace_request_ctx.sent = True
 
 
-def passed_on(pairs: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the header fields that are passed on: all but those of one connection."""
+def end_to_end_headers(pairs: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the header fields without connection-specific ones, which are not forwarded."""
     fields = list(pairs)
-    named = {
+    connection_options = {
         option.strip().lower()
         for name, value in fields
         if name.lower() == "connection"
@@ -231,13 +235,13 @@
     return [
         (name, value)
         for name, value in fields
-        if name.lower() not in HOP_BY_HOP and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP and name.lower() not in connection_options
     ]
 
 
 def _outgoing_headers(request: UpstreamRequest, timeout_s: float) -> CIMultiDict[str]:
     headers: CIMultiDict[str] = CIMultiDict()
-    for name, value in passed_on(request.headers):
+    for name, value in end_to_end_headers(request.headers):
         if name.lower() not in ("content-length", REQUEST_ID_HEADER.lower()):
             headers.add(name, value)
     headers[DEADLINE_HEADER] = f"{timeout_s:.3f}"
@@ -245,10 +249,11 @@
     return headers
 
 
-def _states_its_length(request: UpstreamRequest, response: aiohttp.ClientResponse) -> bool:
-    """Return whether a cut answer could be told from a whole one.
+def _is_delimited(request: UpstreamRequest, response: aiohttp.ClientResponse) -> bool:
+    """Return whether a truncated response can be distinguished from a complete one.
 
-    An answer that ends with its connection is refused: where it was cut, nobody could tell.
+    A response that is delimited by the end of its connection is refused, because a truncation of it
+    cannot be detected.
     """
     if request.method == "HEAD" or response.status in (204, 304):
         return True
--- a/src/egretrail/runtime/_upstream_list.py
+++ b/src/egretrail/runtime/_upstream_list.py
@@ -1,4 +1,4 @@
-"""Brings each instance the upstreams of the services it serves, and word of those that leave."""
+"""Distributes the upstreams of each service, and the draining ones, to its group."""
 
 import asyncio
 import random
@@ -23,27 +23,26 @@
 from egretrail.store import Endpoint, ListedInstance, ListedState
 from egretrail.wire import Acknowledged
 
-#: An instance asks a reader for its services' rows once in this long for each member of the
-#: fleet: the readers then answer a constant number of questions at any size, and changes come
-#: without being asked for.
-_ASK_PERIOD_S_PER_MEMBER = 0.1
-_SHORTEST_ASK_PERIOD_S = 2.0
+#: Period of polling a list reader for the rows of served services, per member of the fleet. The
+#: readers thus answer a constant number of requests at any fleet size; changes are pushed.
+_POLL_PERIOD_S_PER_MEMBER = 0.1
+_MIN_POLL_PERIOD_S = 2.0
 _ASK_TIMEOUT_S = 1.0
-#: How soon an instance that begins to serve a service asks for its rows. Prevents the refusals of
-#: an instance that is already named to callers and knows no upstream yet.
-_NEWLY_SERVED_S = 0.1
-_OWN_READING_GAP_S = 10.0
-#: A drain sign is told to each member of the group this often until it acknowledges. More than
-#: that is not worth its traffic: members also ask each other for signs.
-_TELLINGS = 4
-_TELLING_GAP_S = 0.5
+#: Delay until an instance that starts to serve a service asks for its rows. Short, because an
+#: instance that is already returned to clients would refuse requests while it knows no upstream.
+_NEWLY_SERVED_DELAY_S = 0.1
+_OWN_READ_INTERVAL_S = 10.0
+#: Most times that a drain sign is sent to a member that does not acknowledge it. More would not be
+#: worth the traffic, because members also poll each other for signs.
+_SIGN_ATTEMPTS = 4
+_SIGN_RETRY_S = 0.5
 
 
 class UpstreamListDriver:
     """Keeps the directory of upstreams for the services that this instance serves.
 
-    A reader of the list keeps every row and passes a service's rows to its group when they change;
-    the others ask a reader now and then, and read the list themselves, rarely, in any case.
+    A list reader keeps every row and pushes a service's rows to its group when they change. Other
+    instances poll a reader from time to time, and also read the list themselves at a low rate.
     """
 
     def __init__(
@@ -60,108 +59,108 @@
         self._serves = serves
         self._rng = rng or random.Random(membership.own.incarnation.number)
         self._directory = UpstreamDirectory(serves)
-        self._answers: dict[ServiceName, Sequence[ListedInstance]] = {}
-        self._names: dict[ServiceName, Sequence[UpstreamName]] = {}
-        self._answered_changes = -1
+        self._upstreams_cache: dict[ServiceName, Sequence[ListedInstance]] = {}
+        self._names_cache: dict[ServiceName, Sequence[UpstreamName]] = {}
+        self._cached_changes = -1
         self._all_rows: Mapping[ServiceName, Sequence[UpstreamRow]] = {}
         self._read_s: float | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._services_changed = True
         self._seen_membership = -1
-        self._own_reading_after_s = float("-inf")
-        self._fetching: dict[ServiceName, asyncio.Task[None]] = {}
+        self._own_read_after_s = float("-inf")
+        self._fetches: dict[ServiceName, asyncio.Task[None]] = {}
 
     def services_changed(self) -> None:
-        """Have rows asked for soon: the settings name other services than before."""
+        """Request rows soon, because the services in the settings have changed."""
         self._services_changed = True
 
     async def fetch(self, service: ServiceName) -> None:
-        """Learn a service's upstreams now, if nothing is known of them.
+        """Fetch a service's upstreams now if its rows are unknown.
 
-        For requests that reach an instance before the service's rows do: views of groups differ
-        for seconds after a change, and callers keep what they resolved.
+        Requests may reach an instance before the service's rows do: views of groups differ for
+        seconds after a change, and clients cache what they resolved.
         """
         if service in self._directory.services():
             return
-        fetching = self._fetching.get(service)
-        if fetching is None:
-            fetching = asyncio.get_running_loop().create_task(self._fetch(service))
-            self._fetching[service] = fetching
-            fetching.add_done_callback(lambda _: self._fetching.pop(service, None))
-        await asyncio.shield(fetching)
+        fetch_task = self._fetches.get(service)
+        if fetch_task is None:
+            fetch_task = asyncio.get_running_loop().create_task(self._fetch(service))
+            self._fetches[service] = fetch_task
+            fetch_task.add_done_callback(lambda _: self._fetches.pop(service, None))
+        await asyncio.shield(fetch_task)
 
     async def _fetch(self, service: ServiceName) -> None:
         await self._ask_rows(service)
         if service not in self._directory.services():
-            await self._read_for_itself()
+            await self._read_list_if_due()
 
     async def start(self) -> None:
-        """Take in the list's readings and begin to ask; start this before the membership."""
+        """Subscribe to list reads and start polling; call this before starting the membership."""
         self._network.on(FetchListedUpstreams, self._on_upstreams_ask)
         self._network.on(ListedUpstreams, self._on_listed)
         self._network.on(FetchDrainSigns, self._on_drains_ask)
         self._network.on(DrainSigns, self._on_signs)
         self._membership.on_list(self._on_list)
-        self._spawn(self._ask_forever())
-        self._spawn(self._ask_newly_served_forever())
+        self._spawn(self._poll_forever())
+        self._spawn(self._fetch_newly_served_forever())
 
     async def stop(self) -> None:
-        """Stop asking and telling."""
+        """Stop polling and reporting."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     @property
     def changes(self) -> int:
-        """Return a number that rises whenever ``upstreams`` may answer differently."""
+        """Return a counter that is increased whenever the result of ``upstreams`` may change."""
         return self._directory.changes
 
     def upstreams(self, service: ServiceName) -> Sequence[ListedInstance]:
-        """Return the upstreams that may get new work, in a stable order."""
-        self._forget_old_answers()
-        answer = self._answers.get(service)
-        if answer is None:
-            answer = [_listed(service, row) for row in self._directory.upstreams(service)]
-            self._answers[service] = answer
-        return answer
+        """Return the upstreams that may get new requests, in a stable order."""
+        self._clear_stale_caches()
+        upstreams = self._upstreams_cache.get(service)
+        if upstreams is None:
+            upstreams = [_listed(service, row) for row in self._directory.upstreams(service)]
+            self._upstreams_cache[service] = upstreams
+        return upstreams
 
     def names(self, service: ServiceName) -> Sequence[UpstreamName]:
         """Return the names of the upstreams that count as capacity."""
-        self._forget_old_answers()
-        names = self._names.get(service)
+        self._clear_stale_caches()
+        names = self._names_cache.get(service)
         if names is None:
             names = [row.name for row in self._directory.upstreams(service)]
-            self._names[service] = names
+            self._names_cache[service] = names
         return names
 
-    def _forget_old_answers(self) -> None:
-        """Drop answers given before the last change: both are asked for at every placement."""
-        if self._directory.changes != self._answered_changes:
-            self._answers.clear()
-            self._names.clear()
-            self._answered_changes = self._directory.changes
+    def _clear_stale_caches(self) -> None:
+        """Clear the caches, needed because every placement reads them, after a change."""
+        if self._directory.changes != self._cached_changes:
+            self._upstreams_cache.clear()
+            self._names_cache.clear()
+            self._cached_changes = self._directory.changes
 
     def listings(self, service: ServiceName) -> Mapping[UpstreamName, UpstreamListing]:
-        """Return what is known of each upstream, for operators."""
+        """Return the listing of each upstream, for operators."""
         return self._directory.listings(service)
 
     def note_drain(self, service: ServiceName, upstream: UpstreamName) -> None:
-        """Take an upstream's own word that it is draining, and tell the group."""
+        """Record that an upstream reported it is draining, and notify the group."""
         if self._directory.record_drain(service, upstream, _now_s()):
-            self._tell_group(service)
+            self._notify_group(service)
 
-    def _tell_group(self, service: ServiceName) -> None:
+    def _notify_group(self, service: ServiceName) -> None:
         for member in self._membership.group(service):
             if member.name != self._membership.own.name:
-                self._spawn(self._tell(member.name, service))
+                self._spawn(self._send_signs(member.name, service))
 
-    async def _tell(self, peer: InstanceName, service: ServiceName) -> None:
-        for _ in range(_TELLINGS):
+    async def _send_signs(self, peer: InstanceName, service: ServiceName) -> None:
+        for _ in range(_SIGN_ATTEMPTS):
             body = DrainSigns(service, self._directory.drain_signs(service, _now_s()))
-            told = await self._network.ask(peer, body, Acknowledged, _ASK_TIMEOUT_S)
-            if isinstance(told, Ok):
+            reply = await self._network.ask(peer, body, Acknowledged, _ASK_TIMEOUT_S)
+            if isinstance(reply, Ok):
                 return
-            await asyncio.sleep(_TELLING_GAP_S * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(_SIGN_RETRY_S * self._rng.uniform(0.5, 1.5))
 
     async def _on_list(self, rows: Sequence[ListedInstance]) -> None:
         now_s = _now_s()
@@ -172,16 +171,16 @@
         for service in {*by_service, *self._directory.services()}:
             self._directory.apply_rows(service, by_service.get(service, []), now_s, now_s)
         if self._membership.reads_list:
-            self._pass_on(by_service)
+            self._push_changed_rows(by_service)
             self._all_rows, self._read_s = by_service, now_s
         else:
             self._all_rows, self._read_s = {}, None
 
-    def _pass_on(self, by_service: Mapping[ServiceName, Sequence[UpstreamRow]]) -> None:
-        """Send the rows of services that changed to their groups.
+    def _push_changed_rows(self, by_service: Mapping[ServiceName, Sequence[UpstreamRow]]) -> None:
+        """Send the rows of changed services to their groups.
 
-        Load: an upstream restarts about once a second at full size; each change goes to one
-        group, eight members or so, instead of to everybody.
+        At full fleet size about one upstream a second restarts. Each change is sent to one group of
+        about eight members instead of to all instances.
         """
         if self._read_s is None:
             return
@@ -191,10 +190,10 @@
                 for member in self._membership.group(service):
                     self._network.send(member.name, ListedUpstreams(service, rows, 0.0))
 
-    async def _ask_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
             fleet_size = len(self._membership.members())
-            period_s = max(_SHORTEST_ASK_PERIOD_S, fleet_size * _ASK_PERIOD_S_PER_MEMBER)
+            period_s = max(_MIN_POLL_PERIOD_S, fleet_size * _POLL_PERIOD_S_PER_MEMBER)
             known = {service for service in self._directory.services() if self._serves(service)}
             for service in self._services():
                 await self._ask_signs(service)
@@ -203,14 +202,14 @@
             self._directory.tick(_now_s())
             await asyncio.sleep(period_s * self._rng.uniform(0.7, 1.3))
 
-    async def _ask_newly_served_forever(self) -> None:
-        """Ask for the rows of services that this instance has begun to serve.
+    async def _fetch_newly_served_forever(self) -> None:
+        """Request the rows of services that this instance has started to serve.
 
-        Looks at all services only after the settings or the membership changed: at full size that
-        look costs thousands of group lookups.
+        All services are checked only after a change of the settings or the membership, because at
+        full fleet size a check costs thousands of group lookups.
         """
         while True:
-            await asyncio.sleep(_NEWLY_SERVED_S)
+            await asyncio.sleep(_NEWLY_SERVED_DELAY_S)
             membership = self._membership.changes
             if not self._services_changed and membership == self._seen_membership:
                 continue
@@ -219,23 +218,23 @@
             for service in self._unknown_services():
                 await self._ask_rows(service)
             if self._unknown_services():
-                await self._read_for_itself()
-            # One that nobody could tell yet is asked for again.
+                await self._read_list_if_due()
+            # Services whose rows no instance could provide are requested again.
             self._services_changed |= bool(self._unknown_services())
 
     def _unknown_services(self) -> Sequence[ServiceName]:
         known = set(self._directory.services())
         return [service for service in self._services() if service not in known]
 
-    async def _read_for_itself(self) -> None:
-        """Read the list because no reader could tell a newly served service's upstreams.
+    async def _read_list_if_due(self) -> None:
+        """Read the list if no reader could provide a newly served service's upstreams.
 
-        Load: readers that have just become readers know nothing yet, as after a fleet's start.
-        Once in a while only, so that services without any upstream make nobody a reader.
+        New readers know no rows yet, for example when the whole fleet starts. The rate is limited,
+        so that services without upstreams do not make every instance read the list continuously.
         """
         now_s = _now_s()
-        if now_s >= self._own_reading_after_s:
-            self._own_reading_after_s = now_s + _OWN_READING_GAP_S * self._rng.uniform(0.5, 1.5)
+        if now_s >= self._own_read_after_s:
+            self._own_read_after_s = now_s + _OWN_READ_INTERVAL_S * self._rng.uniform(0.5, 1.5)
             await self._membership.read_list()
 
     async def _ask_rows(self, service: ServiceName) -> None:
@@ -277,8 +276,8 @@
     async def _on_drains_ask(self, _: Incarnation, ask: FetchDrainSigns) -> DrainSigns:
         return DrainSigns(ask.service, self._directory.drain_signs(ask.service, _now_s()))
 
-    async def _on_signs(self, _: Incarnation, told: DrainSigns) -> Acknowledged:
-        self._directory.merge_signs(told.service, told.signs, _now_s())
+    async def _on_signs(self, _: Incarnation, body: DrainSigns) -> Acknowledged:
+        self._directory.merge_signs(body.service, body.signs, _now_s())
         return Acknowledged()
 
     def _spawn(self, coroutine: Any) -> None:
--- a/src/egretrail/runtime/tests/_fleet.py
+++ b/src/egretrail/runtime/tests/_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of membership drivers over the fake network, for the tests of drivers."""
+"""A small fleet of membership drivers on the fake network, for driver tests."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 
 
 class FakeFleet:
-    """Instances that start, are killed, and see each other through the fake network."""
+    """Instances on a fake network that can be started and killed."""
 
     def __init__(self, size: int, seed: int = 1) -> None:
         self.network = FakeNetwork(seed)
--- a/src/egretrail/runtime/tests/keyed_fleet.py
+++ b/src/egretrail/runtime/tests/keyed_fleet.py
@@ -1,4 +1,4 @@
-"""A few instances with keyed executors over the fake network, and a ledger of what truly ran."""
+"""Instances with keyed executors on the fake network, and a record of what actually ran."""
 
 import asyncio
 import random
@@ -41,8 +41,8 @@
 _LOST = Refusal(Outcome.UNKNOWN, RefusalCause.UPSTREAM_LOST)
 
 
-class MortalPeer(PeerNetwork):
-    """A peer that says nothing any more once its process has ended."""
+class KillablePeer(PeerNetwork):
+    """A peer that sends and handles no more messages once its process has ended."""
 
     def __init__(self, peer: FakePeer) -> None:
         self._peer = peer
@@ -67,8 +67,8 @@
             self._peer.send(peer, body)
 
 
-class SharedView(FleetView):
-    """Shows every instance as alive, the dead and the unreachable ones, too: a view that lags."""
+class StaleView(FleetView):
+    """An outdated view: shows every instance as alive, including ended and unreachable ones."""
 
     def __init__(self, own: Member, fleet: "KeyedFleet") -> None:
         self._own = own
@@ -93,12 +93,12 @@
     """One run of an instance."""
 
     executor: KeyedExecutor
-    peer: MortalPeer
+    peer: KillablePeer
 
 
 @dataclass(slots=True)
-class Told:
-    """One answer that a caller was given."""
+class SentAnswer:
+    """One answer that was sent to a client."""
 
     request: RequestEnvelope
     answer: Answer
@@ -106,21 +106,21 @@
 
 @dataclass(slots=True)
 class KeyedFleet:
-    """Instances that may be cut, frozen, killed and started again; and what their callers saw."""
+    """Instances that can be partitioned, paused, killed and restarted, and their answers."""
 
     network: FakeNetwork
     rng: random.Random
     limits: KeyLimits
-    #: How long an upstream works, and how it may end; a test may replace both.
+    #: How long an upstream works, and the possible outcomes; a test may replace both.
     work_s: float = 0.2
     endings: Sequence[str] = ("answer",)
     members: dict[InstanceName, Member] = field(default_factory=dict)
     processes: dict[InstanceName, Process] = field(default_factory=dict)
     dispatched: Counter[str] = field(default_factory=Counter)
-    #: Keys whose work certainly did not happen, though it was dispatched.
-    undone: set[str] = field(default_factory=set)
-    told: list[Told] = field(default_factory=list)
-    callers: set[asyncio.Task[Answer]] = field(default_factory=set)
+    #: Keys that were dispatched but certainly did not run.
+    not_run: set[str] = field(default_factory=set)
+    sent_answers: list[SentAnswer] = field(default_factory=list)
+    client_tasks: set[asyncio.Task[Answer]] = field(default_factory=set)
     starts: int = 0
 
     async def start(self, name: str) -> None:
@@ -129,16 +129,18 @@
         own = Incarnation(InstanceName(name), self.starts)
         zone = AvailabilityZone(_ZONES[ord(name[0]) % len(_ZONES)])
         member = Member(own, zone, "10.0.0.1", 1, "10.0.0.1", 2, MemberState.ALIVE)
-        peer = MortalPeer(self.network.join(own))
+        peer = KillablePeer(self.network.join(own))
         self.members[own.instance] = member
-        view = SharedView(member, self)
+        view = StaleView(member, self)
         seed = random.Random(self.rng.random())
-        executor = KeyedExecutor(own, FLEET_KEY, peer, view, self._work(peer), self.limits, seed)
+        executor = KeyedExecutor(
+            own, FLEET_KEY, peer, view, self._make_execute(peer), self.limits, seed
+        )
         self.processes[own.instance] = Process(executor, peer)
         await executor.start()
 
     async def kill(self, name: str) -> None:
-        """End a process without notice."""
+        """Kill a process."""
         process = self.processes.pop(InstanceName(name), None)
         if process is None:
             return
@@ -147,19 +149,19 @@
         await process.executor.stop()
 
     async def stop(self, name: str, deadline_s: float = 5.0) -> None:
-        """End a process as planned."""
+        """Stop a process as planned."""
         until_s = asyncio.get_running_loop().time() + deadline_s
         await self.processes[InstanceName(name)].executor.drain(until_s)
         await self.kill(name)
 
     def send(self, name: str, request: RequestEnvelope) -> asyncio.Task[Answer]:
-        """Let a caller send a request to an instance."""
+        """Send a client's request to an instance."""
         task = asyncio.get_running_loop().create_task(self._call(name, request))
-        self.callers.add(task)
+        self.client_tasks.add(task)
         return task
 
     def request(self, home: str, suffix: str, caller: str = "caller") -> RequestEnvelope | None:
-        """Return a request under a key of an instance, None while it gives out none."""
+        """Return a request with a key of an instance; None while it issues no keys."""
         process = self.processes.get(InstanceName(home))
         prefix = process.executor.own_prefix() if process is not None else None
         if prefix is None:
@@ -179,47 +181,49 @@
         )
 
     def witness_of(self, request: RequestEnvelope) -> str:
-        """Return the instance that is witness to a request's key."""
+        """Return the instance that is the witness of a request's key."""
         witness = parse_key(request.key or "", FLEET_KEY).unwrap().prefix.witness
         assert witness is not None
         return witness.instance
 
     def faults(self) -> list[str]:
-        """Return every broken promise so far."""
+        """Return every violated guarantee so far."""
         found = [f"{key} dispatched {n} times" for key, n in self.dispatched.items() if n > 1]
-        for told in self.told:
-            key, answer = told.request.key or "", told.answer
-            may_have_run = key in self.dispatched and key not in self.undone
+        for sent in self.sent_answers:
+            key, answer = sent.request.key or "", sent.answer
+            may_have_run = key in self.dispatched and key not in self.not_run
             if isinstance(answer, RecordedAnswer):
-                if answer.body != told.request.body:
-                    found.append(f"{key} told the answer {answer.body!r}")
+                if answer.body != sent.request.body:
+                    found.append(f"{key} got the answer {answer.body!r}")
             elif answer.outcome is (Outcome.NOT_RUN if may_have_run else Outcome.RAN):
-                found.append(f"{key} told {answer}")
+                found.append(f"{key} got {answer}")
         return found
 
     async def end(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for name in list(self.processes):
             await self.kill(name)
-        for task in self.callers:
+        for task in self.client_tasks:
             task.cancel()
-        await asyncio.gather(*self.callers, return_exceptions=True)
+        await asyncio.gather(*self.client_tasks, return_exceptions=True)
 
     async def _call(self, name: str, request: RequestEnvelope) -> Answer:
         process = self.processes[InstanceName(name)]
         answer = await process.executor.run(request)
         if process.peer.dead:
             await asyncio.get_running_loop().create_future()
-        self.told.append(Told(request, answer))
+        self.sent_answers.append(SentAnswer(request, answer))
         return answer
 
-    def _work(self, peer: MortalPeer) -> Callable[[RequestEnvelope], "asyncio.Future[Answer]"]:
+    def _make_execute(
+        self, peer: KillablePeer
+    ) -> Callable[[RequestEnvelope], "asyncio.Future[Answer]"]:
         async def work(request: RequestEnvelope) -> Answer:
             key = request.key or ""
             self.dispatched[key] += 1
             ending = self.rng.choice(self.endings)
             if ending == "refused":
-                self.undone.add(key)
+                self.not_run.add(key)
             await asyncio.sleep(self.work_s)
             if ending == "refused":
                 return _REFUSED
@@ -239,6 +243,6 @@
     fleet = KeyedFleet(network, random.Random(seed), limits or KeyLimits())
     for name in names:
         await fleet.start(name)
-    # The first instance finds its witness at its next tick; a single one goes on alone.
+    # The first instance finds its witness at its next tick; a single one serves without.
     await asyncio.sleep(1.0 if len(names) > 1 else 6.0)
     return fleet
--- a/src/egretrail/runtime/tests/measure_settings.py
+++ b/src/egretrail/runtime/tests/measure_settings.py
@@ -1,8 +1,8 @@
-"""Measures how fast changes spread and what that costs, on the paused clock.
+"""Measures how fast changes spread and the cost of spreading, in simulated time.
 
-Run ``python -m egretrail.runtime.tests.measure_settings [SIZE ...]``. Time is the paused loop's,
-with 1 ms a message; bytes are those of the encoded frames; processor time is this process's, shared
-by all the instances in it.
+Run ``python -m egretrail.runtime.tests.measure_settings [SIZE ...]``. Time is
+simulated, with a latency of 1 ms per message. Bytes are those of the encoded frames. CPU time is
+that of this process, which runs all instances.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 from egretrail.wire import Frame, FrameKind, Message, encode_frame
 
 _CHANGES = 10
-_SPACING_S = 10.0
+_INTERVAL_S = 10.0
 _QUIET_S = 30.0
 _ZONES = 3
 
 
 class _Traffic:
-    """Counts every message, questions and replies alike, at its sender."""
+    """Counts every message at its sender, requests and replies."""
 
     def __init__(self, fleet: SettingsFleet) -> None:
         self.messages: Counter[str] = Counter()
@@ -87,9 +87,9 @@
     for number in range(_CHANGES):
         started_s = loop.time()
         await fleet.put_floor(number + 10, drivers[number % size])
-        await asyncio.sleep(_SPACING_S)
+        await asyncio.sleep(_INTERVAL_S)
         assert all(floor_of(driver) == number + 10 for driver in drivers)
-    spent_s = (time.process_time() - cpu_s) / size / _CHANGES - quiet_cpu * _SPACING_S
+    spent_s = (time.process_time() - cpu_s) / size / _CHANGES - quiet_cpu * _INTERVAL_S
     messages = (traffic.messages.total() - before_messages) / size / _CHANGES
     size_bytes = (traffic.size_bytes.total() - before_bytes) / size / _CHANGES
     calls = (fleet.store.calls.total() - reads) / _CHANGES
@@ -97,8 +97,8 @@
     print(
         f"{size:>5} {loss_share:>5.0%} {ranks[499]:>8.3f} {ranks[989]:>8.3f} {max(delays):>8.3f}"
         f" {quiet_messages:>9.2f} {quiet_bytes:>9.0f} {quiet_cpu:>9.3%}"
-        f" {messages - quiet_messages * _SPACING_S:>9.2f}"
-        f" {size_bytes - quiet_bytes * _SPACING_S:>9.0f} {spent_s * 1e3:>9.2f} {calls:>7.1f}",
+        f" {messages - quiet_messages * _INTERVAL_S:>9.2f}"
+        f" {size_bytes - quiet_bytes * _INTERVAL_S:>9.0f} {spent_s * 1e3:>9.2f} {calls:>7.1f}",
         flush=True,
     )
     await fleet.stop()
--- a/src/egretrail/runtime/tests/settings_fleet.py
+++ b/src/egretrail/runtime/tests/settings_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of settings drivers over the fake network and store, for the tests and measurements."""
+"""A fleet of settings drivers on the fake network and store, for tests and measurements."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class FixedView(FleetView):
-    """A view in which everyone is there."""
+    """A view of fixed members, without those set as unreachable."""
 
     def __init__(self, members: dict[InstanceName, Member], own: InstanceName) -> None:
         self._members = members
@@ -27,7 +27,7 @@
         return self._members[self._own]
 
     def members(self) -> Sequence[Member]:
-        return [m for m in self._members.values() if m.name not in self.unreachable]
+        return [member for member in self._members.values() if member.name not in self.unreachable]
 
     def member(self, name: InstanceName) -> Member | None:
         return self._members.get(name)
@@ -37,7 +37,7 @@
 
 
 class SettingsFleet:
-    """Instances that share a store; each may be given a store of its own."""
+    """Instances that share a store, unless an instance is added with its own."""
 
     def __init__(
         self, size: int, zones: int = 3, seed: int = 1, policy: SettingsPolicy | None = None
@@ -53,7 +53,7 @@
             self.add(f"i{number:03}", f"zone-{number % zones}")
 
     def add(self, name: str, zone: str, store: FakeStore | None = None) -> SettingsDriver:
-        """Add an instance, not yet started."""
+        """Add an instance without starting it."""
         own = Incarnation(InstanceName(name), len(self.members))
         member = Member(own, AvailabilityZone(zone), "::1", 1, "::1", 2, MemberState.ALIVE)
         self.members[own.instance] = member
@@ -65,13 +65,13 @@
         return driver
 
     async def start(self) -> None:
-        """Start all and wait until they have caught up."""
+        """Start all instances and wait until they have caught up."""
         for driver in self.drivers.values():
             await driver.start()
         await asyncio.gather(*(d.wait_until_caught_up() for d in self.drivers.values()))
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop all instances."""
         await asyncio.gather(*(driver.stop() for driver in self.drivers.values()))
 
     def some(self) -> SettingsDriver:
@@ -79,7 +79,7 @@
         return next(iter(self.drivers.values()))
 
     def isolate(self, name: str, cut: bool = True) -> None:
-        """Cut an instance off from all others, or join it again."""
+        """Partition an instance from all others, or end the partition."""
         own = InstanceName(name)
         for other in self.members:
             pairs = {(own, other), (other, own)}
@@ -90,7 +90,7 @@
         return {name: floor_of(driver) for name, driver in self.drivers.items()}
 
     async def put_floor(self, floor: int, driver: SettingsDriver | None = None) -> int:
-        """Put the service's floor through an instance; return the revision."""
+        """Write the service's floor through an instance; return the revision."""
         via = driver or self.some()
         seen = (await via.read(SERVICE)).unwrap().visible_revision
         text = f"floor = {floor}"
@@ -98,7 +98,7 @@
         return accepted.unwrap().revision
 
     async def until_floor(self, floor: int | None, limit_s: float = 60.0) -> float:
-        """Wait until a floor is in force everywhere; return how long that took."""
+        """Wait until a floor is in force on all instances; return the seconds taken."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         while set(self.floors().values()) != {floor}:
--- a/src/egretrail/runtime/tests/test_demand.py
+++ b/src/egretrail/runtime/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""The exchange of demand between the members of a group."""
+"""Exchange of demand reports among the members of a group."""
 
 import asyncio
 from collections.abc import Sequence
@@ -33,12 +33,12 @@
         return _member(name)
 
     def group(self, service: ServiceName) -> Sequence[Member]:
-        # Most preferred first: another order than that of the names.
+        # Most preferred first, which is not the order of the names.
         return list(reversed(self.members()))
 
 
 class DemandDriverTest(EgretrailTestCase):
-    def test_members_learn_of_each_others_demand_and_forget_one_that_falls_silent(self) -> None:
+    def test_members_exchange_demand_and_drop_that_of_a_silent_member(self) -> None:
         async def run() -> tuple[Sequence[float], Sequence[float], int]:
             network = FakeNetwork()
             own = {name: {SERVICE: float(10 * index)} for index, name in enumerate(NAMES)}
@@ -65,7 +65,7 @@
         self.assertEqual([10.0], after)
         self.assertEqual(0, repeated)
 
-    def test_positions_follow_the_names_whatever_the_order_of_preference(self) -> None:
+    def test_positions_follow_the_names_not_the_order_of_preference(self) -> None:
         network = FakeNetwork()
         positions = [
             DemandDriver(network.join(Incarnation(name, 1)), _View(name), dict).position(SERVICE)
--- a/src/egretrail/runtime/tests/test_evidence.py
+++ b/src/egretrail/runtime/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""The exchange of evidence and of suspect requests between the members of a group."""
+"""Exchange of upstream evidence and suspect requests among the members of a group."""
 
 import asyncio
 import random
@@ -109,18 +109,18 @@
 
 
 class SuspectSharingTest(EgretrailTestCase):
-    def test_a_resend_after_the_answer_is_refused_at_every_member(self) -> None:
+    def test_a_resend_after_two_losses_is_refused_at_every_member(self) -> None:
         async def run() -> list[bool]:
             group = await _group()
             await group.attempt(NAMES[0], 0, AttemptOutcome.LOST, POISON)
             await group.attempt(NAMES[1], 1, AttemptOutcome.LOST, POISON)
-            found = [await d.may_touch(SERVICE, POISON) for d in group.drivers.values()]
+            found = [await driver.may_touch(SERVICE, POISON) for driver in group.drivers.values()]
             await group.stop()
             return found
 
         self.assertEqual([False, False, False], self.run_paused(run()))
 
-    def test_a_cut_member_is_told_when_the_cut_heals(self) -> None:
+    def test_a_partitioned_member_learns_of_losses_when_the_partition_heals(self) -> None:
         async def run() -> tuple[bool, float, bool]:
             group = await _group()
             loop = asyncio.get_running_loop()
@@ -141,7 +141,7 @@
         self.assertLess(took_s, 0.6)
         self.assertFalse(after)
 
-    def test_a_member_that_starts_anew_learns_what_the_others_remember(self) -> None:
+    def test_a_restarted_member_fetches_the_losses_that_others_hold(self) -> None:
         async def run() -> bool:
             group = await _group()
             for upstream in (0, 1):
@@ -162,7 +162,7 @@
             await group.attempt(NAMES[1], 1, AttemptOutcome.ANSWERED, POISON)
             await asyncio.sleep(0.1)
             await group.attempt(NAMES[2], 2, AttemptOutcome.LOST, POISON)
-            found = [await d.may_touch(SERVICE, POISON) for d in group.drivers.values()]
+            found = [await driver.may_touch(SERVICE, POISON) for driver in group.drivers.values()]
             await group.stop()
             return found
 
@@ -170,10 +170,10 @@
 
 
 class EvidenceSharingTest(EgretrailTestCase):
-    def test_failures_seen_once_or_twice_by_each_member_eject_at_all(self) -> None:
+    def test_a_few_failures_at_each_member_eject_the_upstream_at_all(self) -> None:
         async def run() -> tuple[int, list[UpstreamState]]:
             group = await _group()
-            await _warm(group)
+            await _record_successes(group)
             sent = 0
             digest = 1000
             while _states(group)[0] is not UpstreamState.EJECTED and sent < 20:
@@ -191,7 +191,7 @@
         self.assertLessEqual(sent, 5)
         self.assertEqual([UpstreamState.EJECTED] * 3, states)
 
-    def test_peers_report_their_attempts_under_way(self) -> None:
+    def test_peers_report_their_attempts_in_flight(self) -> None:
         async def run() -> int:
             group = await _group()
             for name in NAMES[1:]:
@@ -203,13 +203,13 @@
 
         self.assertEqual(2, self.run_paused(run()))
 
-    def test_lost_and_doubled_messages_leave_the_same_decision(self) -> None:
+    def test_lost_and_duplicated_messages_lead_to_the_same_decision(self) -> None:
         async def run() -> list[UpstreamState]:
             network = FakeNetwork(seed=5)
             group = await _group(network)
             network.loss_share = 0.3
             network.double_share = 0.3
-            await _warm(group)
+            await _record_successes(group)
             for sent in range(12):
                 await group.attempt(NAMES[sent % 3], 0, AttemptOutcome.FAILED, 2000 + sent)
                 for other in range(1, 6):
@@ -223,7 +223,7 @@
         self.assertEqual([UpstreamState.EJECTED] * 3, self.run_paused(run()))
 
 
-async def _warm(group: _Group) -> None:
+async def _record_successes(group: _Group) -> None:
     for digest in range(60):
         name = NAMES[digest % 3]
         await group.attempt(name, digest // 3 % 6, AttemptOutcome.ANSWERED, digest)
