--- a/src/egretrail/runtime/tests/test_keyed.py
+++ b/src/egretrail/runtime/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""Keyed requests over the fake network: what each fault ends in."""
+"""Keyed requests on the fake network: the outcome after each fault."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -13,8 +13,8 @@
 
 
 @dataclass(slots=True)
-class Scene:
-    """A home, its witness, and the instance where the caller is."""
+class Setup:
+    """A home, its witness, and the instance that the client sends to."""
 
     fleet: KeyedFleet
     home: str
@@ -29,109 +29,109 @@
     def cut_both(self, one: str, other: str) -> None:
         self.fleet.network.cut_both(InstanceName(one), InstanceName(other))
 
-    def freeze(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         self.fleet.network.frozen[InstanceName(name)] = asyncio.Event()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         for paused in self.fleet.network.frozen.values():
             paused.set()
         self.fleet.network.frozen.clear()
 
 
-Fault = Callable[[Scene], Awaitable[None]]
+Fault = Callable[[Setup], Awaitable[None]]
 
 
-async def home_killed(scene: Scene) -> None:
-    await scene.fleet.kill(scene.home)
+async def home_killed(setup: Setup) -> None:
+    await setup.fleet.kill(setup.home)
 
 
-async def home_restarted(scene: Scene) -> None:
-    await scene.fleet.kill(scene.home)
-    await scene.fleet.start(scene.home)
+async def home_restarted(setup: Setup) -> None:
+    await setup.fleet.kill(setup.home)
+    await setup.fleet.start(setup.home)
 
 
-async def witness_killed(scene: Scene) -> None:
-    await scene.fleet.kill(scene.witness)
+async def witness_killed(setup: Setup) -> None:
+    await setup.fleet.kill(setup.witness)
 
 
-async def witness_restarted(scene: Scene) -> None:
-    await scene.fleet.kill(scene.witness)
-    await scene.fleet.start(scene.witness)
+async def witness_restarted(setup: Setup) -> None:
+    await setup.fleet.kill(setup.witness)
+    await setup.fleet.start(setup.witness)
 
 
-async def both_killed(scene: Scene) -> None:
-    await scene.fleet.kill(scene.witness)
-    await scene.fleet.kill(scene.home)
+async def both_killed(setup: Setup) -> None:
+    await setup.fleet.kill(setup.witness)
+    await setup.fleet.kill(setup.home)
 
 
-async def home_frozen(scene: Scene) -> None:
-    scene.freeze(scene.home)
+async def home_paused(setup: Setup) -> None:
+    setup.pause(setup.home)
 
 
-async def witness_frozen(scene: Scene) -> None:
-    scene.freeze(scene.witness)
+async def witness_paused(setup: Setup) -> None:
+    setup.pause(setup.witness)
 
 
-async def home_cut_off_from_receiver(scene: Scene) -> None:
-    scene.cut_both(scene.home, scene.receiver)
+async def home_cut_off_from_receiver(setup: Setup) -> None:
+    setup.cut_both(setup.home, setup.receiver)
 
 
-async def home_silent_to_receiver(scene: Scene) -> None:
-    scene.cut(scene.home, scene.receiver)
+async def home_silent_to_receiver(setup: Setup) -> None:
+    setup.cut(setup.home, setup.receiver)
 
 
-async def receiver_silent_to_home(scene: Scene) -> None:
-    scene.cut(scene.receiver, scene.home)
+async def receiver_silent_to_home(setup: Setup) -> None:
+    setup.cut(setup.receiver, setup.home)
 
 
-async def home_cut_off_from_witness(scene: Scene) -> None:
-    scene.cut_both(scene.home, scene.witness)
+async def home_cut_off_from_witness(setup: Setup) -> None:
+    setup.cut_both(setup.home, setup.witness)
 
 
-async def witness_silent_to_home(scene: Scene) -> None:
-    scene.cut(scene.witness, scene.home)
+async def witness_silent_to_home(setup: Setup) -> None:
+    setup.cut(setup.witness, setup.home)
 
 
-async def home_silent_to_witness(scene: Scene) -> None:
-    scene.cut(scene.home, scene.witness)
+async def home_silent_to_witness(setup: Setup) -> None:
+    setup.cut(setup.home, setup.witness)
 
 
-async def receiver_cut_off(scene: Scene) -> None:
-    scene.cut_both(scene.receiver, scene.home)
-    scene.cut_both(scene.receiver, scene.witness)
+async def receiver_cut_off(setup: Setup) -> None:
+    setup.cut_both(setup.receiver, setup.home)
+    setup.cut_both(setup.receiver, setup.witness)
 
 
-async def home_cut_off(scene: Scene) -> None:
-    scene.cut_both(scene.home, scene.witness)
-    scene.cut_both(scene.home, scene.receiver)
+async def home_cut_off(setup: Setup) -> None:
+    setup.cut_both(setup.home, setup.witness)
+    setup.cut_both(setup.home, setup.receiver)
 
 
-async def home_stopped(scene: Scene) -> None:
-    await scene.fleet.stop(scene.home)
+async def home_stopped(setup: Setup) -> None:
+    await setup.fleet.stop(setup.home)
 
 
-async def home_stopping(scene: Scene) -> None:
-    stop = scene.fleet.stop(scene.home)
-    scene.stopping.append(asyncio.get_running_loop().create_task(stop))
+async def home_stopping(setup: Setup) -> None:
+    stop = setup.fleet.stop(setup.home)
+    setup.stopping.append(asyncio.get_running_loop().create_task(stop))
     await asyncio.sleep(0)
 
 
-async def witness_stopped(scene: Scene) -> None:
-    await scene.fleet.stop(scene.witness)
+async def witness_stopped(setup: Setup) -> None:
+    await setup.fleet.stop(setup.witness)
 
 
-async def nothing(_scene: Scene) -> None:
+async def nothing(_make_setup: Setup) -> None:
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What a request or its resend ends in when the fault comes at one of three moments."""
+    """The outcome of a request or its resend, for a fault at one of three times."""
 
     fault: Fault
     #: Before the first request.
     before: str
-    #: While the upstream works; the resend comes at once.
+    #: While the upstream works; the resend is sent at once.
     during: str
     #: After the first answer.
     after: str
@@ -143,7 +143,7 @@
         (nothing, ANSWER, ANSWER, ANSWER),
         (home_killed, NOT_RUN, UNKNOWN, ANSWER),
         (home_restarted, NOT_RUN, UNKNOWN, ANSWER),
-        (home_frozen, NOT_RUN, UNKNOWN, ANSWER),
+        (home_paused, NOT_RUN, UNKNOWN, ANSWER),
         (home_stopping, NOT_RUN, ANSWER, ANSWER),
         (home_stopped, NOT_RUN, ANSWER, ANSWER),
         (home_cut_off, NOT_RUN, UNKNOWN, ANSWER),
@@ -155,7 +155,7 @@
         (witness_silent_to_home, NOT_RUN, ANSWER, ANSWER),
         (witness_killed, NOT_RUN, ANSWER, ANSWER),
         (witness_restarted, NOT_RUN, ANSWER, ANSWER),
-        (witness_frozen, NOT_RUN, ANSWER, ANSWER),
+        (witness_paused, NOT_RUN, ANSWER, ANSWER),
         (witness_stopped, NOT_RUN, ANSWER, ANSWER),
         (both_killed, UNKNOWN, UNKNOWN, UNKNOWN),
         (receiver_cut_off, UNKNOWN, UNKNOWN, UNKNOWN),
@@ -177,50 +177,50 @@
         self.assertEqual(row.after, self.run_paused(self._resend(row.fault, 0.4)))
 
     async def _resend(self, fault: Fault, fault_after_s: float | None) -> str:
-        """Return what a request that is sent after the fault ends in, at the receiver."""
-        scene = await _scene()
-        fleet, request = scene.fleet, scene.request
+        """Return the outcome at the receiver of a request that is sent after the fault."""
+        setup = await _make_setup()
+        fleet, request = setup.fleet, setup.request
         if fault_after_s is not None:
-            fleet.send(scene.receiver, request)
+            fleet.send(setup.receiver, request)
             await asyncio.sleep(fault_after_s)
-        await fault(scene)
-        answer = await fleet.send(scene.receiver, request)
-        scene.thaw()
+        await fault(setup)
+        answer = await fleet.send(setup.receiver, request)
+        setup.resume()
         fleet.network.cut.clear()
         await asyncio.sleep(60.0)
         self.assertEqual([], fleet.faults())
         await fleet.end()
-        return _kind(answer)
+        return _outcome(answer)
 
 
 class IsolationTest(EgretrailTestCase):
     @cases({"before": None, "during": 0.1, "after": 2.0})
-    def test_an_instance_cut_off_from_home_and_witness_asks_another(
+    def test_a_receiver_partitioned_from_home_and_witness_asks_another(
         self, fault_after_s: float | None
     ) -> None:
         self.assertEqual(ANSWER, self.run_paused(self._isolated(fault_after_s)))
 
     async def _isolated(self, fault_after_s: float | None) -> str:
-        scene = await _scene(("a", "b", "c", "d"))
+        setup = await _make_setup(("a", "b", "c", "d"))
         if fault_after_s is not None:
-            scene.fleet.send(scene.receiver, scene.request)
+            setup.fleet.send(setup.receiver, setup.request)
             await asyncio.sleep(fault_after_s)
-        await receiver_cut_off(scene)
-        answer = await scene.fleet.send(scene.receiver, scene.request)
-        self.assertEqual([], scene.fleet.faults())
-        await scene.fleet.end()
-        return _kind(answer)
+        await receiver_cut_off(setup)
+        answer = await setup.fleet.send(setup.receiver, setup.request)
+        self.assertEqual([], setup.fleet.faults())
+        await setup.fleet.end()
+        return _outcome(answer)
 
 
-#: Of 20 moments, from just before the request to 1.35 s after its answer, those at which the fault
-#: makes an immediate resend end in ``unknown``. The upstream works for 1.5 s, longer than an
-#: instance waits before it takes a silent one for unreachable.
+#: The number of fault times, of 20 from just before the request to 1.35 s after its answer, at
+#: which an immediate resend ends in ``unknown``. The upstream works for 1.5 s, which is longer
+#: than an instance waits before it treats a silent one as unreachable.
 _UNKNOWN_COUNTS = {
     fault.__name__: (fault, count)
     for fault, count in [
         (home_killed, 10),
         (home_restarted, 10),
-        (home_frozen, 10),
+        (home_paused, 10),
         (home_stopping, 0),
         (home_stopped, 0),
         (home_cut_off, 0),
@@ -232,7 +232,7 @@
         (witness_silent_to_home, 0),
         (witness_killed, 0),
         (witness_restarted, 0),
-        (witness_frozen, 0),
+        (witness_paused, 0),
         (witness_stopped, 0),
         (both_killed, 20),
         (receiver_cut_off, 1),
@@ -247,26 +247,26 @@
         self.assertEqual(row[1], outcomes.count(UNKNOWN))
 
     async def _after_fault(self, fault: Fault, after_s: float) -> str:
-        scene = await _scene(("a", "b", "c", "d"))
-        scene.fleet.work_s = 1.5
-        scene.fleet.send(scene.receiver, scene.request)
+        setup = await _make_setup(("a", "b", "c", "d"))
+        setup.fleet.work_s = 1.5
+        setup.fleet.send(setup.receiver, setup.request)
         await asyncio.sleep(after_s)
-        await fault(scene)
-        answer = await scene.fleet.send(scene.receiver, scene.request)
-        self.assertEqual([], scene.fleet.faults())
-        await scene.fleet.end()
-        return _kind(answer)
+        await fault(setup)
+        answer = await setup.fleet.send(setup.receiver, setup.request)
+        self.assertEqual([], setup.fleet.faults())
+        await setup.fleet.end()
+        return _outcome(answer)
 
 
-async def _scene(names: Sequence[str] = ("a", "b", "c")) -> Scene:
-    """Return a fleet, a request for its first instance, and the caller at a third one."""
+async def _make_setup(names: Sequence[str] = ("a", "b", "c")) -> Setup:
+    """Return a fleet, a request whose home is the first instance, and a third as receiver."""
     fleet = await keyed_fleet(names)
     request = fleet.request("a", "order-1")
     assert request is not None
     witness = fleet.witness_of(request)
     receiver = next(name for name in names if name not in ("a", witness))
-    return Scene(fleet, "a", witness, receiver, request)
+    return Setup(fleet, "a", witness, receiver, request)
 
 
-def _kind(answer: Answer) -> str:
+def _outcome(answer: Answer) -> str:
     return answer.outcome.value if isinstance(answer, Refusal) else ANSWER
--- a/src/egretrail/runtime/tests/test_keyed_executor.py
+++ b/src/egretrail/runtime/tests/test_keyed_executor.py
@@ -1,4 +1,4 @@
-"""What callers, resolve answers and planned stops see of keyed requests."""
+"""Keyed requests: responses to clients, issued key prefixes, and planned stops."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -36,7 +36,7 @@
         self.assertEqual((outcome, cause), (answer.outcome, answer.cause))
 
 
-class CallerTest(_FleetTest):
+class ClientTest(_FleetTest):
     @cases({"home": "a", "others": "bc"})
     def test_resends_during_the_run_join_it(self, receivers: str) -> None:
         async def test(fleet: KeyedFleet) -> None:
@@ -46,14 +46,14 @@
 
         self.run_fleet(test)
 
-    def test_the_work_goes_on_when_its_caller_goes_away(self) -> None:
+    def test_the_request_continues_when_its_client_disconnects(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             for at in ("a", "b"):
                 request = fleet.request("a", f"order-{at}")
                 assert request is not None
-                gone, waiting = fleet.send(at, request), fleet.send(at, request)
+                disconnected, waiting = fleet.send(at, request), fleet.send(at, request)
                 await asyncio.sleep(0.1)
-                gone.cancel()
+                disconnected.cancel()
                 whole = RecordedAnswer(200, (), request.body)
                 self.assertEqual(whole, await fleet.send("c", request))
                 self.assertEqual(whole, await waiting)
@@ -61,7 +61,7 @@
         self.run_fleet(test)
 
     @cases({"another_caller": "caller_id", "another_body": "body", "another_target": "target"})
-    def test_a_key_is_good_for_one_request_of_one_caller(self, field: str) -> None:
+    def test_a_key_is_valid_for_one_request_of_one_account(self, field: str) -> None:
         other: dict[str, object] = {"caller_id": CallerId("z"), "body": b"z", "target": "/z"}
 
         async def test(fleet: KeyedFleet) -> None:
@@ -77,7 +77,7 @@
 
         self.run_fleet(test)
 
-    def test_a_long_run_past_its_deadline_is_unknown_and_found_later(self) -> None:
+    def test_a_run_past_its_deadline_is_unknown_and_its_answer_available_later(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             fleet.work_s = 8.0
             request = _request(fleet)
@@ -102,7 +102,7 @@
 
         self.run_fleet(test)
 
-    def test_an_answer_too_large_to_keep_is_told_as_ran(self) -> None:
+    def test_an_answer_too_large_to_retain_is_reported_as_ran(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             request = _request(fleet)
             first = await fleet.send("b", request)
@@ -113,7 +113,7 @@
 
         self.run_fleet(test, limits=KeyLimits(answer_size_bytes=10))
 
-    def test_a_failing_dispatcher_is_unknown_and_not_tried_again(self) -> None:
+    def test_a_failing_dispatcher_is_unknown_and_not_retried(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             fleet.work_s = -1.0
             fleet.endings = ()
@@ -127,7 +127,7 @@
 
 
 class PrefixTest(_FleetTest):
-    def test_a_home_alone_serves_without_a_witness(self) -> None:
+    def test_a_single_instance_serves_without_a_witness(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             request = _request(fleet)
             self.assertIsInstance(await fleet.send("a", request), RecordedAnswer)
@@ -155,7 +155,7 @@
 
         self.run_fleet(test)
 
-    def test_generations_follow_each_other_and_memory_is_freed(self) -> None:
+    def test_generations_are_renewed_and_memory_is_freed(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             executor = fleet.processes[InstanceName("a")].executor
             old = _request(fleet)
@@ -175,7 +175,7 @@
 
         self.run_fleet(test)
 
-    def test_other_homes_prefixes_are_remembered_for_a_while(self) -> None:
+    def test_prefixes_of_other_homes_are_cached(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             asker = fleet.processes[InstanceName("b")].executor
             home = InstanceName("a")
@@ -186,7 +186,7 @@
 
         self.run_fleet(test)
 
-    def test_a_home_that_starts_gives_out_no_keys_before_it_has_a_witness(self) -> None:
+    def test_a_starting_home_issues_no_keys_before_it_has_a_witness(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             await fleet.kill("a")
             fleet.network.cut_both(InstanceName("a"), InstanceName("b"))
@@ -203,7 +203,7 @@
 
 
 class FloodTest(_FleetTest):
-    def test_a_flood_of_new_keys_stays_within_the_bounds_and_runs_none_twice(self) -> None:
+    def test_many_new_keys_stay_within_the_limits_and_none_runs_twice(self) -> None:
         limits = KeyLimits(records_count=60, generation_keys=40, answers_size_bytes=2000)
 
         async def test(fleet: KeyedFleet) -> None:
@@ -228,7 +228,7 @@
 
 
 class PlannedStopTest(_FleetTest):
-    def test_a_stop_finishes_and_leaves_every_outcome_with_the_witness(self) -> None:
+    def test_a_stop_finishes_and_stores_every_outcome_at_the_witness(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             executor = fleet.processes[InstanceName("a")].executor
             request = _request(fleet)
@@ -250,7 +250,7 @@
 
         self.run_fleet(test)
 
-    def test_a_stop_while_cut_off_says_what_it_leaves(self) -> None:
+    def test_a_stop_while_partitioned_reports_unstored_outcomes(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             executor = fleet.processes[InstanceName("a")].executor
             request = _request(fleet)
@@ -263,7 +263,7 @@
 
         self.run_fleet(test)
 
-    def test_an_outcome_reaches_the_witness_when_the_cut_heals(self) -> None:
+    def test_an_outcome_reaches_the_witness_when_the_partition_heals(self) -> None:
         async def test(fleet: KeyedFleet) -> None:
             request = _request(fleet)
             witness = InstanceName(fleet.witness_of(request))
--- a/src/egretrail/runtime/tests/test_keyed_machine.py
+++ b/src/egretrail/runtime/tests/test_keyed_machine.py
@@ -1,4 +1,4 @@
-"""Random interleavings of requests, faults and time, against what truly ran."""
+"""Random interleavings of requests, faults and delays, checked against what actually ran."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -28,7 +28,7 @@
 _PAUSES_S = (0.0, 0.0015, 0.0025, 0.1, 0.3, 1.2, 3.0)
 _pauses = st.sampled_from(_PAUSES_S)
 _three_pauses = st.tuples(_pauses, _pauses, _pauses)
-#: Small, so that generations fill, close and are forgotten, and answers displace each other.
+#: Small, so that generations fill up, close and expire, and answers are evicted.
 _LIMITS = KeyLimits(
     answers_size_bytes=1500,
     answer_size_bytes=600,
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of an episode."""
+    """One fault in an episode of a request and its resends."""
 
     kind: str
     one: str
     other: str
-    #: Whether it comes before the first request, and whether it ends before the last.
+    #: Whether the fault starts before the request, and whether it ends before the last resend.
     first: bool
     healed: bool
 
@@ -65,7 +65,7 @@
 
 
 class KeyedMachine(RuleBasedStateMachine):
-    """Three instances; every rule is one thing that callers, operators or fate may do."""
+    """Three instances; every rule is an action of clients or operators, or a fault."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -88,17 +88,17 @@
             return
         self.requests.append(request)
         if fault.first:
-            self.strike(fault)
+            self.inject(fault)
         self._send(at, request)
-        self._pass(pauses_s[0])
+        self._advance(pauses_s[0])
         if not fault.first:
-            self.strike(fault)
+            self.inject(fault)
         self._send(again_at, request)
-        self._pass(pauses_s[1])
+        self._advance(pauses_s[1])
         if fault.healed:
             self.restore()
         self._send(at, request)
-        self._pass(pauses_s[2])
+        self._advance(pauses_s[2])
 
     @rule()
     def restore(self) -> None:
@@ -117,7 +117,7 @@
     @rule(at=_names, which=_recent, pass_s=_pauses)
     def resend(self, at: str, which: int, pass_s: float) -> None:
         self._send(at, self.requests[-1 - which % len(self.requests)])
-        self._pass(pass_s)
+        self._advance(pass_s)
 
     @precondition(lambda self: self.requests)
     @rule(at=_names, which=_recent)
@@ -128,10 +128,10 @@
 
     @rule(pass_s=st.sampled_from([0.5, 2.0, 10.0]))
     def wait(self, pass_s: float) -> None:
-        self._pass(pass_s)
+        self._advance(pass_s)
 
     @rule(fault=_faults)
-    def strike(self, fault: Fault) -> None:
+    def inject(self, fault: Fault) -> None:
         one, other = InstanceName(fault.one), InstanceName(fault.other)
         network = self.fleet.network
         match fault.kind:
@@ -154,18 +154,18 @@
                 self.runner.run(self.fleet.stop(one, 3.0))
 
     @invariant()
-    def promises_hold(self) -> None:
+    def guarantees_hold(self) -> None:
         if hasattr(self, "fleet"):
             assert self.fleet.faults() == []
 
     def teardown(self) -> None:
         if hasattr(self, "fleet"):
             self.restore()
-            self._pass(20.0)
+            self._advance(20.0)
             for request in self.requests:
                 for name in _NAMES:
                     self._send(name, request)
-            self._pass(60.0)
+            self._advance(60.0)
             assert self.fleet.faults() == []
             self.runner.run(self.fleet.end())
         self.runner.close()
@@ -183,12 +183,12 @@
         if InstanceName(at) in self.fleet.processes:
             self.runner.run(send())
 
-    def _pass(self, pass_s: float) -> None:
+    def _advance(self, pass_s: float) -> None:
         self.runner.run(asyncio.sleep(pass_s))
 
 
 class KeyedMachineTest(EgretrailTestCase):
-    def test_no_interleaving_breaks_a_promise(self) -> None:
+    def test_no_interleaving_violates_a_guarantee(self) -> None:
         bounds: Any = settings(
             derandomize=True, deadline=None, max_examples=60, stateful_step_count=40
         )
--- a/src/egretrail/runtime/tests/test_membership.py
+++ b/src/egretrail/runtime/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership driver: fleets of it over the fake network, on a paused clock."""
+"""Membership drivers on the fake network with simulated time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,23 +11,23 @@
 Fault = Callable[[FakeFleet, InstanceName], None]
 
 
-def _no_replies(fleet: FakeFleet, name: InstanceName) -> None:
+def _cut_outgoing(fleet: FakeFleet, name: InstanceName) -> None:
     fleet.network.cut |= {(name, other) for other in fleet.names}
 
 
-def _no_questions(fleet: FakeFleet, name: InstanceName) -> None:
+def _cut_incoming(fleet: FakeFleet, name: InstanceName) -> None:
     fleet.network.cut |= {(other, name) for other in fleet.names}
 
 
-def _one_pair(fleet: FakeFleet, name: InstanceName) -> None:
+def _cut_one_direction(fleet: FakeFleet, name: InstanceName) -> None:
     fleet.network.cut.add((fleet.names[0], name))
 
 
-def _freeze(fleet: FakeFleet, name: InstanceName) -> None:
+def _pause(fleet: FakeFleet, name: InstanceName) -> None:
     fleet.network.frozen[name] = asyncio.Event()
 
 
-def _losses(fleet: FakeFleet, name: InstanceName) -> None:
+def _lose_and_duplicate(fleet: FakeFleet, name: InstanceName) -> None:
     fleet.network.loss_share = 0.15
     fleet.network.double_share = 0.1
 
@@ -41,7 +41,7 @@
 
         self.run_paused(run())
 
-    def test_everybody_learns_of_everybody_at_44(self) -> None:
+    def test_all_44_instances_learn_of_each_other(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             self.assertTrue(fleet.alive_everywhere())
             groups = {
@@ -56,14 +56,16 @@
 
     @cases(
         {
-            "nothing_gets_out": (_no_replies, {MemberState.UNREACHABLE}),
-            "nothing_gets_in": (_no_questions, {MemberState.UNREACHABLE}),
-            "paused": (_freeze, {MemberState.UNREACHABLE}),
-            "one_pair_cut_one_way": (_one_pair, {MemberState.ALIVE}),
-            "losses_and_doubles": (_losses, {MemberState.ALIVE}),
+            "outgoing_cut": (_cut_outgoing, {MemberState.UNREACHABLE}),
+            "incoming_cut": (_cut_incoming, {MemberState.UNREACHABLE}),
+            "paused": (_pause, {MemberState.UNREACHABLE}),
+            "one_direction_cut": (_cut_one_direction, {MemberState.ALIVE}),
+            "losses_and_duplicates": (_lose_and_duplicate, {MemberState.ALIVE}),
         }
     )
-    def test_a_fault_is_told_from_an_end(self, row: tuple[Fault, set[MemberState]]) -> None:
+    def test_a_fault_is_distinguished_from_the_end_of_a_process(
+        self, row: tuple[Fault, set[MemberState]]
+    ) -> None:
         fault, expected = row
 
         async def scenario(fleet: FakeFleet) -> None:
@@ -73,7 +75,7 @@
             self.assertEqual(expected, fleet.states(victim))
             await asyncio.sleep(120.0)
             others = [fleet.drivers[name] for name in fleet.names if name != victim]
-            self.assertFalse(any(each.is_gone(Incarnation(victim, 1)) for each in others))
+            self.assertFalse(any(driver.is_gone(Incarnation(victim, 1)) for driver in others))
             fleet.network.cut.clear()
             fleet.network.loss_share = 0.0
             for resumed in fleet.network.frozen.values():
@@ -84,21 +86,21 @@
 
         self._run(12, scenario)
 
-    def test_a_one_way_cut_is_seen_by_the_one_it_concerns(self) -> None:
+    def test_a_one_way_partition_is_detected_by_the_affected_observer(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             observer, victim = fleet.names[0], fleet.names[5]
             fleet.network.cut.add((observer, victim))
             await asyncio.sleep(40.0)
             self.assertTrue(fleet.drivers[observer].cannot_reach(victim))
             self.assertFalse(fleet.drivers[fleet.names[1]].cannot_reach(victim))
-            # Asked, the others vouch for it: it is accused by nobody and refutes nothing.
+            # Indirect probes succeed, so no instance suspects it and it refutes nothing.
             self.assertEqual(1, fleet.drivers[victim]._table.own.version)
 
         self._run(12, scenario)
 
-    def test_an_observer_without_answers_convinces_nobody(self) -> None:
+    def test_suspicions_of_an_observer_that_gets_no_replies_do_not_spread(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
-            _no_questions(fleet, fleet.names[0])
+            _cut_incoming(fleet, fleet.names[0])
             await asyncio.sleep(120.0)
             others = [name for name in fleet.names if name != fleet.names[0]]
             for name in others:
@@ -108,7 +110,7 @@
 
         self._run(12, scenario)
 
-    def test_a_slow_observer_accuses_seldom(self) -> None:
+    def test_a_slow_observer_raises_few_false_suspicions(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             slow = fleet.names[0]
             fleet.network.latency_s = lambda one, other: 0.7 if slow in (one, other) else 0.001
@@ -123,7 +125,7 @@
     def _refutations(fleet: FakeFleet) -> int:
         return sum(driver._table.own.version - 1 for driver in fleet.drivers.values())
 
-    def test_a_killed_instance_is_unreachable_at_once_and_gone_after_the_list(self) -> None:
+    def test_a_killed_instance_is_unreachable_first_and_gone_once_unlisted(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             victim = Incarnation(fleet.names[3], 1)
             await asyncio.sleep(60.0)
@@ -131,17 +133,17 @@
             await asyncio.sleep(25.0)
             self.assertEqual({MemberState.UNREACHABLE}, fleet.states(victim.instance))
             await asyncio.sleep(200.0)
-            self.assertFalse(any(each.is_gone(victim) for each in fleet.drivers.values()))
+            self.assertFalse(any(driver.is_gone(victim) for driver in fleet.drivers.values()))
             fleet.list.remove(victim.instance)
             await asyncio.sleep(25.0)
-            self.assertFalse(any(each.is_gone(victim) for each in fleet.drivers.values()))
+            self.assertFalse(any(driver.is_gone(victim) for driver in fleet.drivers.values()))
             await asyncio.sleep(100.0)
-            self.assertTrue(all(each.is_gone(victim) for each in fleet.drivers.values()))
+            self.assertTrue(all(driver.is_gone(victim) for driver in fleet.drivers.values()))
             self.assertEqual({None}, fleet.states(victim.instance))
 
         self._run(12, scenario)
 
-    def test_a_later_process_proves_the_earlier_one_gone_and_is_not_taken_for_it(self) -> None:
+    def test_a_restarted_process_proves_that_the_earlier_one_ended(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             victim = Incarnation(fleet.names[3], 1)
             fleet.list.lag_s = 50.0
@@ -158,12 +160,12 @@
             later = Incarnation(victim.instance, 2)
             for _ in range(30):
                 await asyncio.sleep(10.0)
-                self.assertFalse(any(each.is_gone(later) for each in fleet.drivers.values()))
-            self.assertTrue(all(each.is_gone(victim) for each in fleet.drivers.values()))
+                self.assertFalse(any(driver.is_gone(later) for driver in fleet.drivers.values()))
+            self.assertTrue(all(driver.is_gone(victim) for driver in fleet.drivers.values()))
 
         self._run(12, scenario)
 
-    def test_a_leaving_instance_vanishes_from_groups_within_seconds(self) -> None:
+    def test_a_leaving_instance_is_removed_from_groups_within_seconds(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             service = ServiceName("varaus")
             leaver = fleet.drivers[fleet.names[0]].group(service)[0].name
@@ -176,12 +178,12 @@
 
         self._run(44, scenario)
 
-    def test_witnesses_are_of_another_zone_first(self) -> None:
+    def test_witness_candidates_of_other_zones_come_first(self) -> None:
         async def scenario(fleet: FakeFleet) -> None:
             home = fleet.names[4]
             found = fleet.drivers[fleet.names[0]].witness_candidates(home)
             self.assertEqual(6, len(found))
             self.assertNotIn(home, [member.name for member in found])
-            self.assertNotIn(fleet.zone(home), [m.availability_zone for m in found])
+            self.assertNotIn(fleet.zone(home), [member.availability_zone for member in found])
 
         self._run(12, scenario)
--- a/src/egretrail/runtime/tests/test_rights.py
+++ b/src/egretrail/runtime/tests/test_rights.py
@@ -1,6 +1,6 @@
-"""The rights driver: fleets of it under kills, cuts, pauses and store outages.
+"""Fleets of rights drivers under kills, network partitions, pauses and store outages.
 
-After every step the ejections honoured by all instances together are compared with the allowance.
+After every step, the ejections honoured by all instances together must stay within the allowance.
 """
 
 import asyncio
@@ -64,11 +64,11 @@
         for task in self.rights.pop(name)._tasks:
             task.cancel()
 
-    def wish(self, name: InstanceName, upstream: UpstreamName) -> bool:
+    def try_eject(self, name: InstanceName, upstream: UpstreamName) -> bool:
         return self.rights[name].may_eject(_SERVICE, upstream, asyncio.get_running_loop().time())
 
     def ejected(self) -> set[UpstreamName]:
-        """Return the upstreams that any instance keeps out now, the paused ones included."""
+        """Return the upstreams that any instance, paused ones included, treats as ejected now."""
         return {
             upstream
             for upstream in _UPSTREAMS
@@ -77,14 +77,16 @@
         }
 
     def ejected_at(self, upstream: UpstreamName) -> set[InstanceName]:
-        return {n for n, driver in self.rights.items() if driver.is_ejected(_SERVICE, upstream)}
+        return {
+            name for name, driver in self.rights.items() if driver.is_ejected(_SERVICE, upstream)
+        }
 
 
-async def _wish_until(
+async def _eject_within(
     fleet: _RightsFleet, name: InstanceName, upstream: UpstreamName, limit_s: float = 30.0
 ) -> bool:
     for _ in range(int(limit_s)):
-        if fleet.wish(name, upstream):
+        if fleet.try_eject(name, upstream):
             return True
         await asyncio.sleep(1.0)
     return False
@@ -105,10 +107,10 @@
 
         self.run_paused(run())
 
-    def test_an_ejection_counts_in_the_whole_group_and_ends_there(self) -> None:
+    def test_an_ejection_starts_and_ends_in_the_whole_group(self) -> None:
         async def scenario(fleet: _RightsFleet) -> None:
             first = fleet.names[0]
-            self.assertTrue(await _wish_until(fleet, first, _UPSTREAMS[0]))
+            self.assertTrue(await _eject_within(fleet, first, _UPSTREAMS[0]))
             await asyncio.sleep(1.0)
             self.assertEqual(set(fleet.names), fleet.ejected_at(_UPSTREAMS[0]))
             await asyncio.sleep(60.0)
@@ -123,7 +125,7 @@
         async def scenario(fleet: _RightsFleet) -> None:
             fleet.source.upstreams = [*_UPSTREAMS, UpstreamName("u6"), UpstreamName("u7")]
             await asyncio.sleep(10.0)
-            held = [number for d in fleet.rights.values() for number in d.held(_SERVICE)]
+            held = [number for driver in fleet.rights.values() for number in driver.held(_SERVICE)]
             self.assertEqual([0, 1, 2, 3], sorted(held))
 
         self._run(scenario)
@@ -132,20 +134,20 @@
         async def scenario(fleet: _RightsFleet) -> None:
             for _ in range(60):
                 for name, upstream in zip(fleet.names, _UPSTREAMS, strict=False):
-                    fleet.wish(name, upstream)
+                    fleet.try_eject(name, upstream)
                 self.assertLessEqual(len(fleet.ejected()), 2)
                 await asyncio.sleep(0.5)
             self.assertEqual(2, len(fleet.ejected()))
 
         self._run(scenario)
 
-    def test_hours_without_the_store_rights_pass_between_instances(self) -> None:
+    def test_rights_move_between_instances_during_hours_of_store_outage(self) -> None:
         async def scenario(fleet: _RightsFleet) -> None:
             fleet.store.set_out(True)
             await asyncio.sleep(3 * 3600.0)
             for name in fleet.names:
                 for upstream in _UPSTREAMS[:2]:
-                    self.assertTrue(await _wish_until(fleet, name, upstream))
+                    self.assertTrue(await _eject_within(fleet, name, upstream))
                 self.assertEqual(set(_UPSTREAMS[:2]), fleet.ejected())
                 for driver in fleet.rights.values():
                     for upstream in _UPSTREAMS[:2]:
@@ -159,10 +161,10 @@
 
         self._run(scenario, probe_interval_s=10.0)
 
-    def test_a_dead_holders_ejection_lapses_and_its_right_is_reissued(self) -> None:
+    def test_a_killed_holders_ejection_expires_and_its_right_is_reissued(self) -> None:
         async def scenario(fleet: _RightsFleet) -> None:
             victim = next(name for name in fleet.names if fleet.rights[name].held(_SERVICE))
-            self.assertTrue(await _wish_until(fleet, victim, _UPSTREAMS[0]))
+            self.assertTrue(await _eject_within(fleet, victim, _UPSTREAMS[0]))
             await asyncio.sleep(2.0)
             fleet.kill(victim)
             await asyncio.sleep(6.0)
@@ -171,31 +173,31 @@
             await asyncio.sleep(300.0)
             survivor = next(iter(fleet.rights))
             for upstream in _UPSTREAMS[1:3]:
-                self.assertTrue(await _wish_until(fleet, survivor, upstream, 60.0))
+                self.assertTrue(await _eject_within(fleet, survivor, upstream, 60.0))
             self.assertEqual(2, len(fleet.ejected()))
 
         self._run(scenario)
 
-    def test_a_planned_stop_passes_rights_on_without_the_store(self) -> None:
+    def test_a_planned_stop_hands_over_rights_without_the_store(self) -> None:
         async def scenario(fleet: _RightsFleet) -> None:
             leaver = next(name for name in fleet.names if fleet.rights[name].held(_SERVICE))
             fleet.store.set_out(True)
             await asyncio.sleep(30.0)
-            self.assertTrue(await _wish_until(fleet, leaver, _UPSTREAMS[0]))
+            self.assertTrue(await _eject_within(fleet, leaver, _UPSTREAMS[0]))
             await fleet.drivers[leaver].announce_leaving()
             await fleet.rights[leaver].hand_over()
             await fleet.rights[leaver].stop()
-            held = [r for d in fleet.rights.values() for r in d.held(_SERVICE)]
+            held = [number for driver in fleet.rights.values() for number in driver.held(_SERVICE)]
             self.assertEqual([0, 1], sorted(held))
             self.assertEqual([], list(fleet.rights[leaver].held(_SERVICE)))
 
         self._run(scenario)
 
-    def test_draining_upstreams_use_up_the_allowance_first(self) -> None:
+    def test_draining_upstreams_reduce_the_allowance(self) -> None:
         async def scenario(fleet: _RightsFleet) -> None:
             first = fleet.names[0]
             for upstream in _UPSTREAMS[:2]:
-                self.assertTrue(await _wish_until(fleet, first, upstream))
+                self.assertTrue(await _eject_within(fleet, first, upstream))
             fleet.source.upstreams = _UPSTREAMS[:5]
             self.assertEqual(1, len(fleet.ejected()))
             fleet.source.upstreams = _UPSTREAMS[:4]
@@ -204,7 +206,7 @@
         self._run(scenario)
 
     @cases({f"seed_{seed}": seed for seed in range(4)})
-    def test_faults_in_any_order_keep_the_floor(self, seed: int) -> None:
+    def test_random_faults_never_violate_the_floor(self, seed: int) -> None:
         async def scenario(fleet: _RightsFleet) -> None:
             rng = random.Random(seed)
             numbers = dict.fromkeys(fleet.names, 1)
@@ -224,13 +226,13 @@
     ) -> None:
         name = rng.choice(fleet.names)
         upstream = rng.choice(_UPSTREAMS)
-        fault = rng.choice(["wish"] * 8 + ["release"] * 4 + ["cut", "mend", "pause", "resume"] * 2)
+        fault = rng.choice(["eject"] * 8 + ["release"] * 4 + ["cut", "mend", "pause", "resume"] * 2)
         fault = rng.choice([fault] * 8 + ["store", "kill", "lose"])
         network = fleet.network
         network.loss_share = 0.1
         network.double_share = 0.1
-        if fault == "wish" and name in fleet.rights:
-            fleet.wish(name, upstream)
+        if fault == "eject" and name in fleet.rights:
+            fleet.try_eject(name, upstream)
         elif fault == "release" and name in fleet.rights:
             fleet.rights[name].release(_SERVICE, upstream, 0.0)
         elif fault == "cut":
--- a/src/egretrail/runtime/tests/test_settings.py
+++ b/src/egretrail/runtime/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings across a fleet: in force in seconds, and never back."""
+"""Settings in a fleet: changes are in force within seconds and are never reverted."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -48,7 +48,7 @@
         self.run_fleet(44, body)
 
     @cases({"light": (12, 0.3), "heavy": (44, 0.4)})
-    def test_lost_and_doubled_messages_only_slow_it(self, row: tuple[int, float]) -> None:
+    def test_lost_and_duplicated_messages_only_delay_a_change(self, row: tuple[int, float]) -> None:
         size, loss_share = row
 
         async def body(fleet: SettingsFleet) -> None:
@@ -59,7 +59,7 @@
 
         self.run_fleet(size, body)
 
-    def test_a_change_written_around_the_tool_is_watched(self) -> None:
+    def test_a_change_written_directly_to_the_store_is_applied(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             await fleet.store.put("egretrail/settings/t/services/b", "floor = 3", 0)
             await asyncio.sleep(6.0)
@@ -68,7 +68,7 @@
 
         self.run_fleet(12, body)
 
-    def test_nobody_watching_is_only_slow(self) -> None:
+    def test_without_watchers_a_change_is_only_delayed(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             for driver in fleet.drivers.values():
                 driver._watches = lambda: False  # type: ignore[method-assign]
@@ -79,7 +79,7 @@
 
         self.run_fleet(6, body)
 
-    def test_a_frozen_watcher_holds_nothing_up(self) -> None:
+    def test_paused_watchers_do_not_delay_changes(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             watching = [n for n, d in fleet.drivers.items() if d.status().watches]
             for name in watching[:3]:
@@ -98,7 +98,7 @@
 
 class WriteTest(SettingsTestCase):
     @cases({"once": 1, "thrice": 3})
-    def test_a_lost_reply_is_resolved_by_reading_back(self, lost: int) -> None:
+    def test_a_lost_reply_is_resolved_by_a_read(self, lost: int) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.lose_replies = lost
             revision = await fleet.put_floor(2)
@@ -108,7 +108,7 @@
 
         self.run_fleet(3, body)
 
-    def test_a_lost_reply_and_an_outage_are_resolved_by_sending_again(self) -> None:
+    def test_a_lost_reply_and_an_outage_are_resolved_by_a_retry(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             driver = fleet.some()
             fleet.store.lose_replies = 1
@@ -129,7 +129,7 @@
 
         self.run_fleet(3, body)
 
-    def test_of_two_operators_one_loses_and_is_shown_both_changes(self) -> None:
+    def test_of_two_concurrent_writes_the_refused_one_reports_both_changes(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.delay_s = 0.05
             one, other, *_ = fleet.drivers.values()
@@ -147,7 +147,7 @@
 
         self.run_fleet(6, body)
 
-    def test_an_outage_refuses_clearly_and_serving_goes_on(self) -> None:
+    def test_writes_are_refused_in_a_store_outage_and_settings_stay_in_force(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.set_out(True)
             await asyncio.sleep(2 * 3600.0)
@@ -161,7 +161,7 @@
 
         self.run_fleet(3, body)
 
-    def test_a_route_needs_its_service_and_a_used_service_stays(self) -> None:
+    def test_a_route_needs_its_service_and_a_used_service_cannot_be_deleted(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             driver = fleet.some()
             text = 'service = "{}"\npath_prefix = "/x"'
@@ -173,7 +173,7 @@
 
         self.run_fleet(3, body)
 
-    def test_a_race_across_paths_is_shown_to_the_operators(self) -> None:
+    def test_conflicting_writes_to_two_paths_are_reported_to_the_operators(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.delay_s = 0.05
             one, other, *_ = fleet.drivers.values()
@@ -190,19 +190,19 @@
 
         self.run_fleet(3, body)
 
-    def test_an_outage_draws_few_calls(self) -> None:
+    def test_a_store_outage_causes_few_calls(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.set_out(True)
             calls = fleet.store.calls.total()
             await asyncio.sleep(60.0)
-            # Six watchers, one try a second each.
+            # Six watchers with one attempt a second each.
             self.assertLess(fleet.store.calls.total() - calls, 6 * 60 * 2)
 
         self.run_fleet(12, body)
 
 
 class JoinTest(SettingsTestCase):
-    def test_who_joins_learns_many_paths_in_parts(self) -> None:
+    def test_a_joining_instance_receives_many_paths_in_chunks(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             for number in range(3000):
                 path = f"egretrail/settings/t/services/s{number}"
@@ -217,7 +217,7 @@
 
         self.run_fleet(4, body)
 
-    def test_who_joins_during_an_outage_learns_from_peers_in_two_zones(self) -> None:
+    def test_in_a_store_outage_a_joining_instance_learns_from_peers_in_two_zones(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             await fleet.put_floor(2)
             await fleet.until_floor(2)
@@ -229,7 +229,7 @@
 
         self.run_fleet(6, body)
 
-    def test_who_reaches_nobody_does_not_become_ready(self) -> None:
+    def test_an_instance_that_reaches_no_peer_does_not_catch_up(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.set_out(True)
             joined = fleet.add("new", "zone-0")
@@ -243,7 +243,7 @@
 
         self.run_fleet(6, body)
 
-    def test_a_fresh_fleet_without_the_store_does_not_become_ready(self) -> None:
+    def test_a_new_fleet_without_the_store_does_not_catch_up(self) -> None:
         async def run() -> None:
             fleet = SettingsFleet(6)
             fleet.store.set_out(True)
@@ -255,7 +255,7 @@
 
         self.run_paused(run())
 
-    def test_one_stale_peer_is_not_believed_at_once(self) -> None:
+    def test_agreement_with_one_stale_peer_does_not_suffice_at_once(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             fleet.isolate("i000")
             await fleet.put_floor(2, fleet.drivers[InstanceName("i001")])
@@ -281,7 +281,7 @@
 
 
 class ReturnTest(SettingsTestCase):
-    def test_a_cut_off_instance_that_returns_brings_nothing_old_back(self) -> None:
+    def test_a_partitioned_instance_that_returns_reverts_nothing(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
             own_store = FakeStore()
             own_store.set_out(True)
@@ -342,7 +342,8 @@
                 await store.put(f"other/{number}", "x", 0)
             await fleet.put_floor(4)
             await fleet.until_floor(4)
-            # The restored copy lacks the second service too; it stays, also on who joins.
+            # The restored store lacks the second service, too. It stays in the fleet and on a
+            # joining instance.
             joined = fleet.add("new", "zone-0")
             await joined.start()
             await asyncio.sleep(120.0)
--- a/src/egretrail/runtime/tests/test_settings_faults.py
+++ b/src/egretrail/runtime/tests/test_settings_faults.py
@@ -1,4 +1,4 @@
-"""Random faults in pairs over a whole fleet: no instance ever moves back, and all converge."""
+"""Random faults in a whole fleet: no instance reverts to older settings, and all converge."""
 
 import asyncio
 import random
@@ -14,8 +14,8 @@
 _ZONES = 3
 
 
-class _Chaos:
-    """Plays faults and operators' changes, and watches every instance's generations."""
+class _FaultInjector:
+    """Injects faults and operators' changes, and checks every instance's generations."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -92,18 +92,18 @@
 
 class FaultsTest(EgretrailTestCase):
     @cases({f"seed_{seed}": seed for seed in range(8)})
-    def test_no_instance_moves_back_and_all_converge(self, seed: int) -> None:
+    def test_no_instance_reverts_and_all_converge(self, seed: int) -> None:
         async def run() -> None:
-            chaos = _Chaos(seed)
-            fleet = chaos.fleet
+            injector = _FaultInjector(seed)
+            fleet = injector.fleet
             await fleet.start()
             for name, driver in fleet.drivers.items():
-                chaos.watch(name, driver)
+                injector.watch(name, driver)
             for number in range(_STEPS):
-                await chaos.step(number)
-            chaos.heal()
+                await injector.step(number)
+            injector.heal()
             await asyncio.sleep(30.0)
-            self.assertEqual([], chaos.reverted)
+            self.assertEqual([], injector.reverted)
             entry = fleet.store.entries.get(f"egretrail/settings/{SERVICE}")
             roots = {driver.catalogue.tree.root for driver in fleet.drivers.values()}
             self.assertEqual(1, len(roots))
--- a/src/egretrail/runtime/tests/test_upstream_client.py
+++ b/src/egretrail/runtime/tests/test_upstream_client.py
@@ -1,4 +1,4 @@
-"""Attempts on upstreams that answer wrongly: an answer is passed on whole and as its own only."""
+"""Attempts on faulty upstreams: only complete responses of the same request are forwarded."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -14,9 +14,9 @@
 
 @dataclass(slots=True)
 class _RawUpstream:
-    """Reads request heads and writes scripted bytes, connection by connection."""
+    """Reads request heads and writes the same scripted bytes on each connection."""
 
-    #: What is written for each request on a connection; None closes the connection.
+    #: The bytes written for each request on a connection; None closes the connection.
     script: Sequence[bytes | None]
     requests: list[bytes] = field(default_factory=list)
     connections: int = 0
@@ -133,19 +133,21 @@
             + b"\r\n0\r\n\r\n",
         }
     )
-    def test_an_answer_above_the_limit_is_said_to_be_so(self, written: bytes) -> None:
+    def test_a_response_above_the_limit_is_reported_as_too_large(self, written: bytes) -> None:
         (result,), _ = self._attempts([written], _request())
         self.assertTrue(result.too_large)
         self.assertEqual(b"", result.body)
 
-    def test_surplus_bytes_are_never_the_next_answer(self) -> None:
+    def test_surplus_bytes_are_never_taken_for_the_next_response(self) -> None:
         surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
         first = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + surplus
         results, upstream = self._attempts([first, b"hold open"], _request(), _request())
         self.assertEqual([b"ok", b"ok"], [result.body for result in results])
         self.assertEqual(2, upstream.connections)
 
-    def test_with_an_echo_connections_are_reused_and_foreign_answers_discarded(self) -> None:
+    def test_with_an_echo_header_connections_are_reused_and_crossed_responses_discarded(
+        self,
+    ) -> None:
         own = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Echo: {id}\r\n\r\nok"
         foreign = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Echo: other\r\n\r\nwrong"
         results, upstream = self._attempts(
@@ -154,12 +156,13 @@
             _request(echo_header="X-Echo", request_id="r2"),
         )
         self.assertEqual(
-            [AttemptOutcome.ANSWERED, AttemptOutcome.CROSSED], [r.outcome for r in results]
+            [AttemptOutcome.ANSWERED, AttemptOutcome.CROSSED],
+            [result.outcome for result in results],
         )
         self.assertEqual(b"", results[1].body)
         self.assertEqual(1, upstream.connections)
 
-    def test_work_that_is_not_idempotent_has_a_connection_of_its_own(self) -> None:
+    def test_a_non_idempotent_request_uses_its_own_connection(self) -> None:
         own = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Echo: {id}\r\n\r\nok"
         request = _request("PUT", echo_header="X-Echo", reuse=False)
         _, upstream = self._attempts([own, own], request, request)
@@ -170,7 +173,7 @@
         self.assertEqual([AttemptOutcome.LOST], [result.outcome for result in results])
         self.assertEqual(1, len(upstream.requests))
 
-    def test_silence_is_a_timeout_and_its_connection_is_closed(self) -> None:
+    def test_an_unresponsive_upstream_is_a_timeout(self) -> None:
         results, _ = self._attempts([b"", b"hold open"], _request(), timeout_s=0.2)
         self.assertEqual([AttemptOutcome.TIMED_OUT], [result.outcome for result in results])
 
@@ -190,7 +193,7 @@
         self.assertEqual(AttemptOutcome.REFUSED, result.outcome)
         self.assertTrue(result.certainly_not_run)
 
-    def test_target_and_fields_pass_unchanged_but_for_those_of_the_connection(self) -> None:
+    def test_target_and_end_to_end_headers_are_forwarded_unchanged(self) -> None:
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: 1\r\nX-A: 1\r\nX-A: 2\r\n\r\n"
         (result,), upstream = self._attempts([whole], _request())
         head = upstream.requests[0].decode()
--- a/src/egretrail/runtime/tests/test_upstream_list.py
+++ b/src/egretrail/runtime/tests/test_upstream_list.py
@@ -1,4 +1,4 @@
-"""The lists of upstreams: leaving ones stop everywhere within seconds, also without readers."""
+"""Upstream lists: draining upstreams get no more work within seconds, even without readers."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class _ListedFleet(FakeFleet):
-    """Every instance also keeps the upstreams of one service."""
+    """Every instance also runs the upstream list driver of one service."""
 
     def __init__(self, size: int) -> None:
         super().__init__(size)
@@ -41,8 +41,8 @@
             await membership.announce_ready()
         await asyncio.sleep(settle_s)
 
-    def group_offers(self, upstream: UpstreamName) -> set[InstanceName]:
-        """Return the members of the group that would still give the upstream work."""
+    def members_offering(self, upstream: UpstreamName) -> set[InstanceName]:
+        """Return the members of the group that would still send requests to the upstream."""
         group = self.drivers[self.names[0]].group(_SERVICE)
         return {
             member.name
@@ -60,7 +60,7 @@
 
         self.run_paused(run())
 
-    def test_every_instance_knows_the_upstreams_it_serves_and_no_others(self) -> None:
+    def test_every_instance_holds_the_upstreams_of_its_services_only(self) -> None:
         async def scenario(fleet: _ListedFleet) -> None:
             for driver in fleet.lists.values():
                 self.assertEqual(4, len(driver.upstreams(_SERVICE)))
@@ -75,26 +75,26 @@
             first = fleet.drivers[fleet.names[0]].group(_SERVICE)[0].name
             fleet.lists[first].note_drain(_SERVICE, _DRAINED)
             await asyncio.sleep(5.0)
-            self.assertEqual(set(), fleet.group_offers(_DRAINED))
+            self.assertEqual(set(), fleet.members_offering(_DRAINED))
             fleet.list.remove(_DRAINED)
             for _ in range(40):
                 await asyncio.sleep(2.0)
-                self.assertEqual(set(), fleet.group_offers(_DRAINED))
+                self.assertEqual(set(), fleet.members_offering(_DRAINED))
 
         self._run(scenario)
 
-    def test_a_removed_row_reaches_the_group_within_seconds_without_being_asked_for(self) -> None:
+    def test_a_removed_row_is_pushed_to_the_group_within_seconds(self) -> None:
         async def scenario(fleet: _ListedFleet) -> None:
-            # A fleet of 3,500 asks every 350 s.
-            self.patch(upstream_list, "_SHORTEST_ASK_PERIOD_S", 350.0)
+            # A fleet of 3,500 instances polls every 350 s.
+            self.patch(upstream_list, "_MIN_POLL_PERIOD_S", 350.0)
             await asyncio.sleep(5.0)
             fleet.list.remove(_DRAINED)
             await asyncio.sleep(5.0)
-            self.assertEqual(set(), fleet.group_offers(_DRAINED))
+            self.assertEqual(set(), fleet.members_offering(_DRAINED))
 
         self._run(scenario)
 
-    def test_a_change_arrives_though_every_reader_is_cut_off(self) -> None:
+    def test_a_change_arrives_while_every_reader_is_partitioned(self) -> None:
         async def scenario(fleet: _ListedFleet) -> None:
             for reader in fleet.drivers[fleet.names[0]].list_readers():
                 for name in fleet.names:
@@ -108,7 +108,7 @@
 
         self._run(scenario)
 
-    def test_services_that_begin_all_at_once_have_their_upstreams_within_two_seconds(self) -> None:
+    def test_services_that_start_together_have_their_upstreams_within_two_seconds(self) -> None:
         async def run() -> None:
             fleet = _ListedFleet(6)
             serving: list[ServiceName] = []
@@ -134,7 +134,7 @@
 
 
 class FetchTest(EgretrailTestCase):
-    def test_a_request_that_comes_before_the_rows_learns_them(self) -> None:
+    def test_fetch_gets_the_rows_of_a_service_with_unknown_rows(self) -> None:
         async def run() -> None:
             fleet = _ListedFleet(6)
             fleet.serves = lambda service: False
--- a/src/egretrail/wire/__init__.py
+++ b/src/egretrail/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The typed messages that instances exchange, and their msgpack form."""
+"""The typed messages that instances exchange, and their msgpack encoding."""
 
 from egretrail.wire._codec import (
     PROTOCOL_VERSION,
--- a/src/egretrail/wire/_codec.py
+++ b/src/egretrail/wire/_codec.py
@@ -1,4 +1,4 @@
-"""Encodes frames as msgpack and validates what comes in before it becomes a data class."""
+"""Encodes frames as msgpack, and decodes and validates received ones into data classes."""
 
 import enum
 from dataclasses import dataclass
@@ -10,28 +10,28 @@
 
 from egretrail.wire._message import Message, message_tag, message_type
 
-#: Raised when a frame's layout changes; peers of another version are refused at the handshake.
+#: Incremented when the frame layout changes; peers of another version are refused at the handshake.
 PROTOCOL_VERSION = 1
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame asks of its receiver."""
+    """The role of a frame in an exchange."""
 
     NOTIFY = 0
     ASK = 1
     REPLY = 2
 
 
-_KINDS = {int(kind) for kind in FrameKind}
+_KIND_VALUES = {int(kind) for kind in FrameKind}
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One message with what is needed to match replies to questions."""
+    """One message with the fields that match a reply to its request."""
 
-    #: Whether the sender waits for a reply, or this is one.
+    #: A notification, a request that expects a reply, or a reply.
     kind: FrameKind
-    #: Chosen by the asker, repeated in the reply; 0 for notifications.
+    #: Chosen by the requester and repeated in the reply; 0 for notifications.
     exchange_id: int
     #: The message itself.
     body: Message
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedFrame:
-    """A frame that cannot be read; the stream it came on is closed."""
+    """A frame that cannot be decoded; the stream that it arrived on is closed."""
 
     #: What is wrong with the frame.
     cause: str
@@ -58,37 +58,37 @@
     return adapter
 
 
-def _plain(value: object) -> object:
+def _enum_value(value: object) -> object:
     if isinstance(value, enum.Enum):
         return value.value
-    raise TypeError(f"{type(value).__name__} has no msgpack form")
+    raise TypeError(f"{type(value).__name__} has no msgpack encoding")
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the msgpack form of a frame, without its length prefix."""
+    """Return the msgpack encoding of a frame, without its length prefix."""
     cls = type(frame.body)
     document = _adapter(cls).dump_python(frame.body)
     head = [PROTOCOL_VERSION, int(frame.kind), frame.exchange_id, message_tag(cls), document]
-    packed: bytes = msgpack.packb(head, default=_plain)
+    packed: bytes = msgpack.packb(head, default=_enum_value)
     return packed
 
 
 def decode_frame(data: bytes) -> Result[Frame, MalformedFrame]:
-    """Read a frame; the failure names what is wrong with it."""
+    """Decode a frame; the failure states what is wrong with it."""
     try:
         head = msgpack.unpackb(data, strict_map_key=False)
     except (ValueError, msgpack.UnpackException) as error:
         return Err(MalformedFrame(f"not msgpack: {error!r}"))
     if not isinstance(head, list) or len(head) != 5:
-        return Err(MalformedFrame("not a list of five"))
+        return Err(MalformedFrame("not a list of five elements"))
     version, kind, exchange_id, tag, document = head
     if version != PROTOCOL_VERSION:
-        return Err(MalformedFrame(f"version {version!r}"))
-    if type(kind) is not int or kind not in _KINDS or type(exchange_id) is not int:
-        return Err(MalformedFrame("kind or exchange"))
+        return Err(MalformedFrame(f"protocol version {version!r}, expected {PROTOCOL_VERSION}"))
+    if type(kind) is not int or kind not in _KIND_VALUES or type(exchange_id) is not int:
+        return Err(MalformedFrame("invalid frame kind or exchange id"))
     cls = message_type(tag) if isinstance(tag, str) else None
     if cls is None:
-        return Err(MalformedFrame(f"unknown message {tag!r}"))
+        return Err(MalformedFrame(f"unknown message tag {tag!r}"))
     try:
         body = _adapter(cls).validate_python(document)
     except ValidationError as error:
--- a/src/egretrail/wire/tests/test_codec.py
+++ b/src/egretrail/wire/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The peer codec."""
+"""Encoding and decoding of frames, including malformed ones."""
 
 import msgpack
 from hypothesis import given, settings
@@ -10,7 +10,7 @@
 
 
 class CodecTest(EgretrailTestCase):
-    def test_a_frame_survives_the_wire(self) -> None:
+    def test_a_frame_is_equal_after_encoding_and_decoding(self) -> None:
         frame = Frame(FrameKind.ASK, 7, Acknowledged())
         self.assertEqual(Ok(frame), decode_frame(encode_frame(frame)))
 
@@ -28,10 +28,10 @@
             "trailing_bytes": msgpack.packb([1, 0, 0, "ack", {}]) + b"\x00",
         }
     )
-    def test_malformed_frames_are_typed_failures(self, data: bytes) -> None:
+    def test_malformed_frames_are_returned_as_errors(self, data: bytes) -> None:
         self.assertIsInstance(decode_frame(data), Err)
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(st.binary(max_size=200))
-    def test_no_bytes_break_the_decoder(self, data: bytes) -> None:
+    def test_no_bytes_raise_in_the_decoder(self, data: bytes) -> None:
         self.assertIsInstance(decode_frame(data), (Ok, Err))
