--- a/src/egretrail/cli/tests/operator_server.py
+++ b/src/egretrail/cli/tests/operator_server.py
@@ -54,7 +54,7 @@
         await fleet.start()
         tokens = parse_operator_tokens(TOKENS, "tokens.toml").unwrap()
         app = falcon.asgi.App(middleware=[OperatorTokenMiddleware(tokens)])
-        add_settings_routes(app, fleet.some())
+        add_settings_routes(app, fleet.first_driver())
         app.add_route("/v1/routes", RoutesResource())
         config = uvicorn.Config(app, host="127.0.0.1", port=0, log_level="error", lifespan="off")
         self._server = uvicorn.Server(config)
--- a/src/egretrail/daemon/_caller_face.py
+++ b/src/egretrail/daemon/_caller_face.py
@@ -22,7 +22,7 @@
     OUTCOME_HEADER,
     PROBLEM_CONTENT_TYPE,
     Problem,
-    problem_of,
+    problem_from_refusal,
 )
 from egretrail.settings import InstanceSettings
 
@@ -104,7 +104,7 @@
         answer = await _until_disconnect(receive, self._requests.handle(incoming))
         if isinstance(answer, RecordedAnswer):
             return await self._pass_on(send, answer)
-        problem = problem_of(answer) if isinstance(answer, Refusal) else answer
+        problem = problem_from_refusal(answer) if isinstance(answer, Refusal) else answer
         await self._send_problem(send, problem)
 
     async def _read_body(self, receive: Receive) -> bytes | None:
--- a/src/egretrail/daemon/_daemon.py
+++ b/src/egretrail/daemon/_daemon.py
@@ -146,7 +146,7 @@
         )
         self._client = UpstreamClient(limits.answer_body_size_bytes)
         self._build_request_path()
-        self._settings_driver.subscribe(lambda _changed: self._source.services_changed())
+        self._settings_driver.subscribe(lambda _changed: self._source.request_rows_soon())
         await self._source.start()
         await self._view.start()
         await self._settings_driver.start()
--- a/src/egretrail/daemon/_execution.py
+++ b/src/egretrail/daemon/_execution.py
@@ -173,7 +173,7 @@
         started_s = loop.time()
         state = running.state
         kind = f"{running.envelope.route} {running.envelope.method}"
-        ticket = self._evidence.begin(state.name, upstream, running.digest, kind)
+        ticket = self._evidence.record_attempt_start(state.name, upstream, running.digest, kind)
         result = UpstreamResult(AttemptOutcome.CANCELLED)
         try:
             result = await self._send(running, work_id, upstream)
@@ -192,8 +192,8 @@
             )
             self._accounting.attempted(state.name, upstream, result.outcome, started_s)
             if result.outcome is AttemptOutcome.DRAINING:
-                self._source.note_drain(state.name, upstream)
-            await self._evidence.finish(state.name, ticket, attempt)
+                self._source.record_drain(state.name, upstream)
+            await self._evidence.record_attempt_end(state.name, ticket, attempt)
             if result.outcome is not AttemptOutcome.ANSWERED:
                 state.trouble()
             ended = state.scheduler.record_attempt_end(
--- a/src/egretrail/peer/__init__.py
+++ b/src/egretrail/peer/__init__.py
@@ -1,6 +1,6 @@
 """Authenticated streams between the fleet's instances."""
 
-from egretrail.peer._errors import PeerFailure, PeerSilent, PeerUnreachable
+from egretrail.peer._errors import PeerFailure, PeerUnreachable, PeerUnresponsive
 from egretrail.peer._network import Handler, PeerNetwork
 from egretrail.peer._tcp import TcpPeerNetwork
 
@@ -8,7 +8,7 @@
     "Handler",
     "PeerFailure",
     "PeerNetwork",
-    "PeerSilent",
     "PeerUnreachable",
+    "PeerUnresponsive",
     "TcpPeerNetwork",
 ]
--- a/src/egretrail/peer/_errors.py
+++ b/src/egretrail/peer/_errors.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSilent:
+class PeerUnresponsive:
     """The message was sent but no reply was received; the peer may have handled it."""
 
     #: The peer that was addressed.
@@ -31,4 +31,4 @@
         return f"{self.peer} did not reply within {self.waited_s:.3f} s"
 
 
-PeerFailure = PeerUnreachable | PeerSilent
+PeerFailure = PeerUnreachable | PeerUnresponsive
--- a/src/egretrail/peer/_tcp.py
+++ b/src/egretrail/peer/_tcp.py
@@ -19,7 +19,7 @@
 from result import Err, Ok, Result
 
 from egretrail.identity import Incarnation, InstanceName
-from egretrail.peer._errors import PeerFailure, PeerSilent, PeerUnreachable
+from egretrail.peer._errors import PeerFailure, PeerUnreachable, PeerUnresponsive
 from egretrail.peer._network import Handler, PeerNetwork
 from egretrail.wire import (
     PROTOCOL_VERSION,
@@ -119,11 +119,11 @@
             _write(stream.writer, Frame(FrameKind.ASK, exchange_id, body))
             answer = await asyncio.wait_for(reply, timeout_s)
         except (TimeoutError, OSError):
-            return Err(PeerSilent(peer, timeout_s))
+            return Err(PeerUnresponsive(peer, timeout_s))
         finally:
             stream.pending_replies.pop(exchange_id, None)
         if not isinstance(answer, reply_type):
-            return Err(PeerSilent(peer, timeout_s))
+            return Err(PeerUnresponsive(peer, timeout_s))
         return Ok(answer)
 
     def send(self, peer: InstanceName, body: Message) -> None:
--- a/src/egretrail/peer/tests/test_tcp.py
+++ b/src/egretrail/peer/tests/test_tcp.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from egretrail.identity import Incarnation, InstanceName
-from egretrail.peer import PeerSilent, PeerUnreachable, TcpPeerNetwork
+from egretrail.peer import PeerUnreachable, PeerUnresponsive, TcpPeerNetwork
 from egretrail.testing import EgretrailTestCase, cases
 from egretrail.wire import Acknowledged, Message
 
@@ -111,7 +111,7 @@
             await asked.wait()
             for writer in list(b._accepted_writers):
                 writer.transport.abort()
-            self.assertIsInstance((await request_task).unwrap_err(), PeerSilent)
+            self.assertIsInstance((await request_task).unwrap_err(), PeerUnresponsive)
             b.on(Acknowledged, _acknowledge)
             self.assertIsInstance(await a.ask(_B.instance, Acknowledged(), Acknowledged, 5.0), Ok)
 
--- a/src/egretrail/runtime/__init__.py
+++ b/src/egretrail/runtime/__init__.py
@@ -3,15 +3,20 @@
 from egretrail.runtime._demand import DemandDriver, DemandSource
 from egretrail.runtime._evidence import EvidenceDriver
 from egretrail.runtime._keyed import KeyedExecutor, KeyedState
-from egretrail.runtime._keyed_home import Drained, Execute
+from egretrail.runtime._keyed_home import DrainResult, Execute
 from egretrail.runtime._membership import MembershipDriver
-from egretrail.runtime._problem import OUTCOME_HEADER, PROBLEM_CONTENT_TYPE, Problem, problem_of
+from egretrail.runtime._problem import (
+    OUTCOME_HEADER,
+    PROBLEM_CONTENT_TYPE,
+    Problem,
+    problem_from_refusal,
+)
 from egretrail.runtime._report import ReportDriver
 from egretrail.runtime._rights import RightsDriver, RightsReport
 from egretrail.runtime._rights_registrar import FloorSource
 from egretrail.runtime._settings import SettingsDriver, SettingsStatus
 from egretrail.runtime._settings_http import OperatorTokenMiddleware, add_settings_routes
-from egretrail.runtime._settings_peers import InForce
+from egretrail.runtime._settings_peers import InForceReport
 from egretrail.runtime._settings_policy import SettingsPolicy
 from egretrail.runtime._settings_writer import StoredSetting
 from egretrail.runtime._upstream_client import (
@@ -28,11 +33,11 @@
     "PROBLEM_CONTENT_TYPE",
     "DemandDriver",
     "DemandSource",
-    "Drained",
+    "DrainResult",
     "EvidenceDriver",
     "Execute",
     "FloorSource",
-    "InForce",
+    "InForceReport",
     "KeyedExecutor",
     "KeyedState",
     "MembershipDriver",
@@ -50,5 +55,5 @@
     "UpstreamRequest",
     "UpstreamResult",
     "add_settings_routes",
-    "problem_of",
+    "problem_from_refusal",
 ]
--- a/src/egretrail/runtime/_evidence.py
+++ b/src/egretrail/runtime/_evidence.py
@@ -92,15 +92,15 @@
         """Return the suspect requests of a service, created at the first call."""
         return self._service(service).suspects
 
-    def begin(
+    def record_attempt_start(
         self, service: ServiceName, upstream: UpstreamName, digest: int, request_kind: str
     ) -> int:
-        """Record the start of an attempt; return the ticket to pass to ``health.end``."""
+        """Record the start of an attempt; return the ticket to pass to ``record_attempt_end``."""
         state = self._service(service)
         state.suspects.record_start(digest, upstream)
         return state.health.record_start(upstream, request_kind, self._now_s())
 
-    async def finish(self, service: ServiceName, ticket: int, attempt: Attempt) -> None:
+    async def record_attempt_end(self, service: ServiceName, ticket: int, attempt: Attempt) -> None:
         """Record a finished attempt.
 
         After a loss, return once the group has acknowledged the loss or ``ACKNOWLEDGE_LIMIT_S`` has
@@ -125,7 +125,7 @@
                 service, attempt.request_digest, attempt.upstream, lasted_s
             )
 
-    async def may_touch(self, service: ServiceName, digest: int) -> bool:
+    async def permits_another_upstream(self, service: ServiceName, digest: int) -> bool:
         """Return whether a request may be sent to one more upstream; check before each attempt."""
         return self._service(service).suspects.permits_another_upstream(digest, self._now_s())
 
--- a/src/egretrail/runtime/_keyed.py
+++ b/src/egretrail/runtime/_keyed.py
@@ -30,7 +30,7 @@
 from egretrail.request import Answer, Outcome, Refusal, RefusalCause, RequestEnvelope
 from egretrail.runtime._key_generations import KeyGenerations
 from egretrail.runtime._key_prefixes import KeyPrefixes
-from egretrail.runtime._keyed_home import Drained, Execute, KeyedHome
+from egretrail.runtime._keyed_home import DrainResult, Execute, KeyedHome
 from egretrail.runtime._keyed_receiver import KeyedReceiver
 from egretrail.runtime._keyed_witness import KeyedWitness
 
@@ -102,7 +102,7 @@
             loop.create_task(self._store_outcomes_forever()),
         ]
 
-    async def drain(self, until_s: float) -> Drained:
+    async def drain(self, until_s: float) -> DrainResult:
         """Prepare a planned stop: accept no new keys, finish, store the outcomes at witnesses.
 
         Return at ``until_s`` on the loop's clock at the latest, with the counts of what is left.
--- a/src/egretrail/runtime/_keyed_home.py
+++ b/src/egretrail/runtime/_keyed_home.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drained:
+class DrainResult:
     """What was left when a planned stop ended."""
 
     #: Keys whose request was still running.
@@ -118,7 +118,7 @@
         stored = await asyncio.gather(*(self._store_outcome(outcome) for outcome in settled))
         return all(stored)
 
-    async def drain(self, until_s: float) -> Drained:
+    async def drain(self, until_s: float) -> DrainResult:
         """Accept no new keys, finish running ones, and store each outcome at its witness."""
         for prefix in self._home.stop():
             if prefix.witness is not None:
@@ -130,7 +130,7 @@
                 break
             await asyncio.sleep(_DRAIN_STEP_S)
         unkept = self._home.unkept(self._home.records.records_count)
-        return Drained(self._home.unsettled_count(), len(unkept))
+        return DrainResult(self._home.unsettled_count(), len(unkept))
 
     async def stop(self) -> None:
         """Cancel running requests; their outcome is unknown."""
--- a/src/egretrail/runtime/_membership.py
+++ b/src/egretrail/runtime/_membership.py
@@ -184,7 +184,7 @@
         """Return whether the list proves that no process of a name was running within its lag."""
         return self._table.is_name_gone(name, _now_s())
 
-    def on_list(self, listener: ListListener) -> None:
+    def subscribe_to_list(self, listener: ListListener) -> None:
         """Call ``listener`` with every read of the platform's list by this instance."""
         self._listeners.append(listener)
 
--- a/src/egretrail/runtime/_problem.py
+++ b/src/egretrail/runtime/_problem.py
@@ -74,7 +74,7 @@
 }
 
 
-def problem_of(refusal: Refusal) -> Problem:
+def problem_from_refusal(refusal: Refusal) -> Problem:
     """Return the problem that reports a refusal to the client."""
     status, title = _REFUSALS[refusal.cause]
     return Problem(
--- a/src/egretrail/runtime/_settings.py
+++ b/src/egretrail/runtime/_settings.py
@@ -13,7 +13,7 @@
 from egretrail.identity import Incarnation
 from egretrail.peer import PeerNetwork
 from egretrail.route import RouteTable, existing_conflicts
-from egretrail.runtime._settings_peers import InForce, SettingsPeers
+from egretrail.runtime._settings_peers import InForceReport, SettingsPeers
 from egretrail.runtime._settings_policy import SettingsPolicy
 from egretrail.runtime._settings_reader import SettingsReader
 from egretrail.runtime._settings_state import SettingsListener, SettingsState
@@ -166,7 +166,7 @@
         """Read a path and its history from the store."""
         return await self._writer.read(path)
 
-    async def in_force(self, path: SettingPath, generation: int) -> InForce:
+    async def in_force(self, path: SettingPath, generation: int) -> InForceReport:
         """Ask every member whether a change is in force there."""
         return await self._peers.in_force(str(path), generation)
 
--- a/src/egretrail/runtime/_settings_peers.py
+++ b/src/egretrail/runtime/_settings_peers.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class InForceReport:
     """The instances on which a change is in force."""
 
     #: Instances that have the change, or a later one of its path.
@@ -125,7 +125,7 @@
         """
         return await asyncio.shield(self._start_comparison(peer))
 
-    async def in_force(self, path: str, generation: int) -> InForce:
+    async def in_force(self, path: str, generation: int) -> InForceReport:
         """Ask every member whether a change is in force there."""
         semaphore = asyncio.Semaphore(self._policy.in_force_parallel)
         have, lack, silent = [], [], []
@@ -146,7 +146,7 @@
 
         names = [member.name for member in self._view.members()]
         await asyncio.gather(*(ask(name) for name in names if name != self._own.instance))
-        return InForce(sorted(have), sorted(lack), sorted(silent))
+        return InForceReport(sorted(have), sorted(lack), sorted(silent))
 
     def _start_comparison(self, peer: InstanceName) -> asyncio.Task[bool]:
         task = self._comparing.get(peer)
--- a/src/egretrail/runtime/_upstream_list.py
+++ b/src/egretrail/runtime/_upstream_list.py
@@ -70,7 +70,7 @@
         self._own_read_after_s = float("-inf")
         self._fetches: dict[ServiceName, asyncio.Task[None]] = {}
 
-    def services_changed(self) -> None:
+    def request_rows_soon(self) -> None:
         """Request rows soon, because the services in the settings have changed."""
         self._services_changed = True
 
@@ -100,7 +100,7 @@
         self._network.on(ListedUpstreams, self._on_listed)
         self._network.on(FetchDrainSigns, self._on_drains_ask)
         self._network.on(DrainSigns, self._on_signs)
-        self._membership.on_list(self._on_list)
+        self._membership.subscribe_to_list(self._on_list)
         self._spawn(self._poll_forever())
         self._spawn(self._fetch_newly_served_forever())
 
@@ -144,7 +144,7 @@
         """Return the listing of each upstream, for operators."""
         return self._directory.listings(service)
 
-    def note_drain(self, service: ServiceName, upstream: UpstreamName) -> None:
+    def record_drain(self, service: ServiceName, upstream: UpstreamName) -> None:
         """Record that an upstream reported it is draining, and notify the group."""
         if self._directory.record_drain(service, upstream, _now_s()):
             self._notify_group(service)
--- a/src/egretrail/runtime/tests/keyed_fleet.py
+++ b/src/egretrail/runtime/tests/keyed_fleet.py
@@ -19,7 +19,7 @@
     RouteName,
     ServiceName,
 )
-from egretrail.peer import Handler, PeerFailure, PeerNetwork, PeerSilent
+from egretrail.peer import Handler, PeerFailure, PeerNetwork, PeerUnresponsive
 from egretrail.request import (
     Answer,
     Outcome,
@@ -59,7 +59,7 @@
         self, peer: InstanceName, body: Message, reply_type: type[R], timeout_s: float
     ) -> Result[R, PeerFailure]:
         if self.dead:
-            return Err(PeerSilent(peer, 0.0))
+            return Err(PeerUnresponsive(peer, 0.0))
         return await self._peer.ask(peer, body, reply_type, timeout_s)
 
     def send(self, peer: InstanceName, body: Message) -> None:
--- a/src/egretrail/runtime/tests/settings_fleet.py
+++ b/src/egretrail/runtime/tests/settings_fleet.py
@@ -74,7 +74,7 @@
         """Stop all instances."""
         await asyncio.gather(*(driver.stop() for driver in self.drivers.values()))
 
-    def some(self) -> SettingsDriver:
+    def first_driver(self) -> SettingsDriver:
         """Return the first instance."""
         return next(iter(self.drivers.values()))
 
@@ -91,7 +91,7 @@
 
     async def put_floor(self, floor: int, driver: SettingsDriver | None = None) -> int:
         """Write the service's floor through an instance; return the revision."""
-        via = driver or self.some()
+        via = driver or self.first_driver()
         seen = (await via.read(SERVICE)).unwrap().visible_revision
         text = f"floor = {floor}"
         accepted = await via.put(SERVICE, text, seen, f"change-floor-{floor}-{seen}", "t")
--- a/src/egretrail/runtime/tests/test_evidence.py
+++ b/src/egretrail/runtime/tests/test_evidence.py
@@ -85,9 +85,9 @@
     ) -> None:
         driver = self.drivers[name]
         now_s = asyncio.get_running_loop().time()
-        ticket = driver.begin(SERVICE, UPSTREAMS[upstream], digest, "GET")
+        ticket = driver.record_attempt_start(SERVICE, UPSTREAMS[upstream], digest, "GET")
         await asyncio.sleep(0.02)
-        await driver.finish(
+        await driver.record_attempt_end(
             SERVICE,
             ticket,
             Attempt(
@@ -114,7 +114,10 @@
             group = await _group()
             await group.attempt(NAMES[0], 0, AttemptOutcome.LOST, POISON)
             await group.attempt(NAMES[1], 1, AttemptOutcome.LOST, POISON)
-            found = [await driver.may_touch(SERVICE, POISON) for driver in group.drivers.values()]
+            found = [
+                await driver.permits_another_upstream(SERVICE, POISON)
+                for driver in group.drivers.values()
+            ]
             await group.stop()
             return found
 
@@ -129,10 +132,10 @@
             for upstream in (0, 1):
                 await group.attempt(NAMES[0], upstream, AttemptOutcome.LOST, POISON)
             took_s = loop.time() - start_s
-            during = await group.drivers[NAMES[2]].may_touch(SERVICE, POISON)
+            during = await group.drivers[NAMES[2]].permits_another_upstream(SERVICE, POISON)
             group.network.cut.clear()
             await asyncio.sleep(3.0)
-            after = await group.drivers[NAMES[2]].may_touch(SERVICE, POISON)
+            after = await group.drivers[NAMES[2]].permits_another_upstream(SERVICE, POISON)
             await group.stop()
             return during, took_s, after
 
@@ -149,7 +152,7 @@
             await group.drivers[NAMES[2]].stop()
             driver = await group.join(NAMES[2], number=2)
             await asyncio.sleep(0.1)
-            found = await driver.may_touch(SERVICE, POISON)
+            found = await driver.permits_another_upstream(SERVICE, POISON)
             await group.stop()
             return found
 
@@ -162,7 +165,10 @@
             await group.attempt(NAMES[1], 1, AttemptOutcome.ANSWERED, POISON)
             await asyncio.sleep(0.1)
             await group.attempt(NAMES[2], 2, AttemptOutcome.LOST, POISON)
-            found = [await driver.may_touch(SERVICE, POISON) for driver in group.drivers.values()]
+            found = [
+                await driver.permits_another_upstream(SERVICE, POISON)
+                for driver in group.drivers.values()
+            ]
             await group.stop()
             return found
 
@@ -195,7 +201,7 @@
         async def run() -> int:
             group = await _group()
             for name in NAMES[1:]:
-                group.drivers[name].begin(SERVICE, UPSTREAMS[3], 1, "GET")
+                group.drivers[name].record_attempt_start(SERVICE, UPSTREAMS[3], 1, "GET")
             await asyncio.sleep(2.0)
             found = group.drivers[NAMES[0]].peer_in_flight(SERVICE, UPSTREAMS[3])
             await group.stop()
--- a/src/egretrail/runtime/tests/test_settings.py
+++ b/src/egretrail/runtime/tests/test_settings.py
@@ -42,7 +42,7 @@
         async def body(fleet: SettingsFleet) -> None:
             revision = await fleet.put_floor(2)
             self.assertLess(await fleet.until_floor(2), 6.0)
-            found = await fleet.some().in_force(SERVICE, revision)
+            found = await fleet.first_driver().in_force(SERVICE, revision)
             self.assertEqual((44, [], []), (len(found.have), found.lack, found.silent))
 
         self.run_fleet(44, body)
@@ -110,7 +110,7 @@
 
     def test_a_lost_reply_and_an_outage_are_resolved_by_a_retry(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
-            driver = fleet.some()
+            driver = fleet.first_driver()
             fleet.store.lose_replies = 1
 
             async def outage(name: str) -> Ok[None]:
@@ -151,7 +151,7 @@
         async def body(fleet: SettingsFleet) -> None:
             fleet.store.set_out(True)
             await asyncio.sleep(2 * 3600.0)
-            answer = await fleet.some().put(SERVICE, "floor = 2", 1, "change-two", "t")
+            answer = await fleet.first_driver().put(SERVICE, "floor = 2", 1, "change-two", "t")
             assert isinstance(answer, Err)
             self.assertIsInstance(answer.err_value, StoreOut)
             self.assertEqual({1}, set(fleet.floors().values()))
@@ -163,7 +163,7 @@
 
     def test_a_route_needs_its_service_and_a_used_service_cannot_be_deleted(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
-            driver = fleet.some()
+            driver = fleet.first_driver()
             text = 'service = "{}"\npath_prefix = "/x"'
             wrong = await driver.put(ROUTE, text.format("b"), 0, "change-wrong", "t")
             right = await driver.put(ROUTE, text.format("a"), 0, "change-right", "t")
@@ -213,7 +213,7 @@
             await joined.start()
             await joined.wait_until_caught_up()
             self.assertEqual(3001, len(joined.catalogue))
-            self.assertEqual(fleet.some().settings(), joined.settings())
+            self.assertEqual(fleet.first_driver().settings(), joined.settings())
 
         self.run_fleet(4, body)
 
@@ -291,8 +291,8 @@
             self.assertEqual(1, floor_of(cut))
             fleet.isolate("cut")
             await fleet.put_floor(2)
-            seen = (await fleet.some().read(SERVICE)).unwrap().visible_revision
-            await fleet.some().delete(SERVICE, seen, "change-delete", "t")
+            seen = (await fleet.first_driver().read(SERVICE)).unwrap().visible_revision
+            await fleet.first_driver().delete(SERVICE, seen, "change-delete", "t")
             await asyncio.sleep(3600.0)
             self.assertEqual(1, floor_of(cut))
             others = {n: d for n, d in fleet.drivers.items() if d is not cut}
@@ -306,7 +306,7 @@
 
     def test_a_paused_process_catches_up_before_it_serves(self) -> None:
         async def body(fleet: SettingsFleet) -> None:
-            driver = fleet.some()
+            driver = fleet.first_driver()
             loop = asyncio.get_running_loop()
             skipped_s = loop._skipping  # type: ignore[attr-defined]
             skipped_s.now_s += 60.0
@@ -323,7 +323,7 @@
         async def body(fleet: SettingsFleet) -> None:
             await fleet.put_floor(2)
             await fleet.until_floor(2)
-            await fleet.some().put(_OTHER, "floor = 1", 0, "change-other", "t")
+            await fleet.first_driver().put(_OTHER, "floor = 1", 0, "change-other", "t")
             store = fleet.store
             store.set_out(True)
             await asyncio.sleep(5.0)
@@ -335,7 +335,7 @@
             await asyncio.sleep(60.0)
             self.assertEqual({2}, set(fleet.floors().values()))
             self.assertTrue(any(d.status().behind for d in fleet.drivers.values()))
-            answer = await fleet.some().put(SERVICE, "floor = 3", 2, "change-three", "t")
+            answer = await fleet.first_driver().put(SERVICE, "floor = 3", 2, "change-three", "t")
             assert isinstance(answer, Err)
             self.assertIsInstance(answer.err_value, StoreBehind)
             for number in range(5):
@@ -351,7 +351,7 @@
                 self.assertEqual(2, len(driver.settings().services))
             behind = [d.status().behind for d in fleet.drivers.values() if d.status().behind]
             self.assertEqual({("t/services/b",)}, {tuple(b.paths) for b in behind if b})
-            again = await fleet.some().put(_OTHER, "floor = 1", 3, "change-again", "t")
+            again = await fleet.first_driver().put(_OTHER, "floor = 1", 3, "change-again", "t")
             self.assertIsInstance(again, Ok)
             await asyncio.sleep(120.0)
             self.assertFalse(any(d.status().behind for d in fleet.drivers.values()))
--- a/src/egretrail/runtime/tests/test_upstream_list.py
+++ b/src/egretrail/runtime/tests/test_upstream_list.py
@@ -73,7 +73,7 @@
             fleet.list.lag_s = 40.0
             fleet.network.loss_share = 0.3
             first = fleet.drivers[fleet.names[0]].group(_SERVICE)[0].name
-            fleet.lists[first].note_drain(_SERVICE, _DRAINED)
+            fleet.lists[first].record_drain(_SERVICE, _DRAINED)
             await asyncio.sleep(5.0)
             self.assertEqual(set(), fleet.members_offering(_DRAINED))
             fleet.list.remove(_DRAINED)
@@ -116,7 +116,7 @@
             await fleet.start_all(settle_s=0.5)
             serving.append(_SERVICE)
             for driver in fleet.lists.values():
-                driver.services_changed()
+                driver.request_rows_soon()
             await asyncio.sleep(2.0)
             counts = [len(driver.upstreams(_SERVICE)) for driver in fleet.lists.values()]
             self.assertEqual([4] * 6, counts)
--- a/src/egretrail/testing/_fake_network.py
+++ b/src/egretrail/testing/_fake_network.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from egretrail.identity import Incarnation, InstanceName
-from egretrail.peer import Handler, PeerFailure, PeerNetwork, PeerSilent, PeerUnreachable
+from egretrail.peer import Handler, PeerFailure, PeerNetwork, PeerUnreachable, PeerUnresponsive
 from egretrail.wire import Frame, FrameKind, Message, decode_frame, encode_frame
 
 M = TypeVar("M", bound=Message)
@@ -93,8 +93,10 @@
         try:
             answer = await asyncio.wait_for(reply, timeout_s)
         except TimeoutError:
-            return Err(PeerSilent(peer, timeout_s))
-        return Ok(answer) if isinstance(answer, reply_type) else Err(PeerSilent(peer, timeout_s))
+            return Err(PeerUnresponsive(peer, timeout_s))
+        return (
+            Ok(answer) if isinstance(answer, reply_type) else Err(PeerUnresponsive(peer, timeout_s))
+        )
 
     def send(self, peer: InstanceName, body: Message) -> None:
         """Send a message without waiting; it is dropped when the peer cannot be reached."""
