--- a/src/egretrail/idempotency/__init__.py
+++ b/src/egretrail/idempotency/__init__.py
@@ -1,4 +1,9 @@
-"""At-most-once work under idempotency keys: pure state machines of homes and witnesses."""
+"""At-most-once execution of requests with idempotency keys.
+
+The home of a key is the only process that may start the key's request. The witness of a key records
+the key before the request starts and can answer for it when the home is unreachable. Both are state
+machines without I/O.
+"""
 
 from egretrail.idempotency._binding import request_binding
 from egretrail.idempotency._home import (
--- a/src/egretrail/idempotency/_home.py
+++ b/src/egretrail/idempotency/_home.py
@@ -1,6 +1,7 @@
-"""The home of keys: the one process that may start their work.
+"""The home of idempotency keys: the only process that may start the requests of its keys.
 
-Events come in as calls, what is to be done goes out as the returned step. Nothing here waits.
+A state machine without I/O: each event is a method call, and the returned step tells the caller
+which action to perform. No method blocks.
 """
 
 import itertools
@@ -13,7 +14,7 @@
 from egretrail.idempotency._records import Phase, Record, RecordStore
 from egretrail.idempotency._refusals import (
     GENERATION_CLOSED,
-    GENERATION_FORGOTTEN,
+    GENERATION_DROPPED,
     KEY_REUSED,
     KEY_SEALED,
     RECORD_LOST,
@@ -25,44 +26,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer this request now; nothing is started."""
+    """Respond to this request now; no request is dispatched."""
 
-    #: The recorded answer, or a refusal.
+    #: The recorded response, or a refusal.
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """Wait for the answer of the work that goes on."""
+    """Wait for the response to the dispatched request that is still running."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskWitness:
-    """Have the witness record the key, then report its verdict."""
+    """Send the key to the witness to be recorded, then pass the verdict to ``on_verdict``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Start the work, then report its answer."""
+    """Dispatch the request, then pass the response to ``on_executed``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """Answer everyone who waits for the key, and send the outcome to the witness."""
+    """Respond to every request that waits for the key, and send the outcome to the witness."""
 
-    #: The answer, or the refusal under which the key is sealed.
+    #: The response, or the refusal with which the key is sealed.
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class SettledKey:
-    """A key whose outcome its witness should hold."""
+    """A key with its outcome, as it is sent to the witness."""
 
-    #: The key.
     key: IdempotencyKey
-    #: Digest of the caller and the request.
+    #: Digest of the client and the request.
     binding: bytes
-    #: The answer, or the refusal under which the key is sealed.
+    #: The response, or the refusal with which the key is sealed.
     answer: Answer
 
 
@@ -71,7 +71,7 @@
 
 
 class Home:
-    """The records of the keys whose work only this process may start."""
+    """The records of the keys whose requests only this process may start."""
 
     def __init__(self, own: Incarnation, limits: KeyLimits) -> None:
         self._own = own
@@ -80,28 +80,31 @@
         self._stopping = False
         self._openings = 0
         self._awaited_opening: int | None = None
-        self._unkept: dict[IdempotencyKey, None] = {}
+        self._unconfirmed: dict[IdempotencyKey, None] = {}
 
     @property
     def records(self) -> RecordStore:
-        """Return the records, for reports."""
+        """Return the records, for metrics and reports."""
         return self._records
 
     def owns(self, key: IdempotencyKey) -> bool:
-        """Return whether the key names this very process as its home."""
+        """Return whether this incarnation of the instance is the home of the key."""
         return key.prefix.home == self._own
 
     def ask_generation(self) -> int:
-        """Return the number of a new opening; the reply to any earlier one is void."""
+        """Start the opening of a generation and return its number.
+
+        Replies to earlier openings are ignored from now on.
+        """
         self._openings += 1
         self._awaited_opening = self._openings
         return self._openings
 
     def open(self, opening: int, prefix: KeyPrefix, now_s: float) -> bool:
-        """Take keys of a generation that a witness has opened for this process.
+        """Accept keys of a generation that a witness has opened for this process.
 
-        A doubled or late reply opens nothing: a generation that was dropped here and opened again
-        would start its keys a second time.
+        Returns False for a duplicate or late reply: if a generation that was dropped here were
+        opened again, its keys could start a second time.
         """
         if self._stopping or prefix.home != self._own or not self._awaits_opening(opening):
             return False
@@ -110,34 +113,36 @@
         return True
 
     def open_alone(self, now_s: float) -> KeyPrefix | None:
-        """Open a generation without a witness, when no other instance can be reached.
+        """Open a generation without a witness, for use when no other instance is reachable.
+
+        The keys still run at most once, because only this process starts them. Without a copy at a
+        witness, retries after the end of this process get the outcome ``unknown``.
 
-        Its keys run at most once all the same: only this process starts them. What is lost is the
-        copy: when this process ends, their resends are answered ``unknown``.
+        Returns None while stopping.
         """
         opening = self.ask_generation()
         prefix = KeyPrefix(self._own, None, opening)
         return prefix if self.open(opening, prefix, now_s) else None
 
     def issuing(self, now_s: float) -> KeyPrefix | None:
-        """Return the prefix to name to callers now, if a generation is fresh enough."""
-        found: KeyPrefix | None = None
+        """Return the prefix to issue to clients; None when no open generation is recent enough."""
+        newest: KeyPrefix | None = None
         for prefix, generation in self._records.generations():
-            # Half full, so that the prefixes which callers already hold find room.
-            roomy = len(generation.records) * 2 < self._limits.generation_keys
-            fresh = now_s - generation.opened_s < self._limits.issue_s
-            if generation.accepting and roomy and fresh:
-                found = prefix
-        return found
+            # At most half full, which leaves capacity for clients that already hold the prefix.
+            has_capacity = len(generation.records) * 2 < self._limits.generation_keys
+            is_recent = now_s - generation.opened_s < self._limits.issue_s
+            if generation.accepting and has_capacity and is_recent:
+                newest = prefix
+        return newest
 
     def on_request(self, key: IdempotencyKey, binding: bytes) -> RequestStep:
-        """Decide on a request that carries one of this home's keys."""
+        """Return the next step for a request that carries one of this home's keys."""
         known = self.on_await(key, binding)
         if known is not None:
             return known
         if not self._records.holds(key.prefix):
-            return Reply(GENERATION_FORGOTTEN)
-        self._make_room(key.prefix)
+            return Reply(GENERATION_DROPPED)
+        self._drop_oldest_generations(key.prefix)
         if not self._records.accepts(key.prefix):
             return Reply(GENERATION_CLOSED)
         record = Record(binding, Phase.RECORDING)
@@ -148,7 +153,7 @@
         return Dispatch()
 
     def on_await(self, key: IdempotencyKey, binding: bytes) -> Reply | Join | None:
-        """Return what is known of a key, None when it has no record; nothing is started."""
+        """Return the step for a key that has a record, else None; never starts a request."""
         if not self.owns(key):
             return Reply(RECORD_LOST)
         record = self._records.find(key)
@@ -162,9 +167,9 @@
         return Reply(record.answer)
 
     def on_verdict(self, key: IdempotencyKey, verdict: RecordVerdict | None) -> VerdictStep | None:
-        """Act on the witness's verdict, None when it gave none in time.
+        """Apply the witness's verdict; ``verdict`` is None when the witness did not reply in time.
 
-        A second or late verdict finds the key past ``RECORDING`` and starts nothing.
+        Returns None for a duplicate or late verdict: the key has left ``RECORDING`` by then.
         """
         record = self._records.find(key)
         if record is None or not self._awaits_verdict(record):
@@ -177,51 +182,53 @@
         refusal = WITNESS_UNREACHABLE if verdict is None else KEY_SEALED
         self._seal(key, record, refusal)
         if verdict is None:
-            # It may have recorded the key: tell it that the key will not run.
-            self._unkept[key] = None
+            # The witness may have recorded the key: send it the outcome "not run".
+            self._unconfirmed[key] = None
         return Settled(refusal)
 
     def on_executed(self, key: IdempotencyKey, answer: Answer) -> Settled:
-        """Record what became of the work; a refusal ``not-run`` seals the key."""
+        """Record the result of a dispatched request; a refusal ``not-run`` seals the key."""
         record = self._records.find(key)
         if record is not None and record.phase is not Phase.SETTLED:
             self._records.settle(key, record, answer)
             if key.prefix.witness is not None:
-                self._unkept[key] = None
+                self._unconfirmed[key] = None
         return Settled(answer)
 
     def on_kept(self, key: IdempotencyKey) -> None:
-        """Note that the witness holds the outcome."""
-        self._unkept.pop(key, None)
+        """Record that the witness has confirmed the outcome."""
+        self._unconfirmed.pop(key, None)
 
     def on_not_kept(self, key: IdempotencyKey) -> None:
-        """Note that sending the outcome failed; others are tried before it."""
-        if key in self._unkept:
-            del self._unkept[key]
-            self._unkept[key] = None
+        """Record that sending the outcome failed: move it to the end of the queue."""
+        if key in self._unconfirmed:
+            del self._unconfirmed[key]
+            self._unconfirmed[key] = None
 
     def settled(self, key: IdempotencyKey) -> SettledKey | None:
-        """Return what the witness should hold of a key: its answer, if it is not too large."""
+        """Return a settled key with its outcome; None when the key is unknown or not settled."""
         record = self._records.find(key)
         if record is None or record.answer is None or record.binding is None:
             return None
         return SettledKey(key, record.binding, record.answer)
 
     def unkept(self, limit_count: int) -> Sequence[SettledKey]:
-        """Return keys whose outcome the witness has not confirmed, longest untried first."""
-        settled = (self.settled(key) for key in self._unkept)
-        return list(itertools.islice((one for one in settled if one is not None), limit_count))
+        """Return keys whose outcome the witness has not confirmed, least recently sent first."""
+        settled = (self.settled(key) for key in self._unconfirmed)
+        return list(
+            itertools.islice((entry for entry in settled if entry is not None), limit_count)
+        )
 
     def unsettled_count(self) -> int:
-        """Return how many keys wait for their witness or their answer."""
+        """Return how many keys wait for a verdict or for a response."""
         return self._records.unsettled_count
 
     def close(self, prefix: KeyPrefix) -> None:
-        """Take no new keys in one generation, for good; what goes on is finished."""
+        """Stop accepting new keys in a generation, permanently; running requests continue."""
         self._records.close(prefix)
 
     def stop(self) -> Sequence[KeyPrefix]:
-        """Take no new keys at all; return the generations to close at their witnesses."""
+        """Stop accepting new keys; return the generations to close at their witnesses."""
         self._stopping = True
         held = [prefix for prefix, _ in self._records.generations()]
         for prefix in held:
@@ -229,7 +236,7 @@
         return [prefix for prefix in held if prefix.witness is not None]
 
     def tick(self, now_s: float) -> Sequence[KeyPrefix]:
-        """Close and drop generations by age; return those that were closed now."""
+        """Close and drop generations by age; return those closed by this call."""
         closed: list[KeyPrefix] = []
         for prefix, generation in self._records.generations():
             age_s = now_s - generation.opened_s
@@ -241,18 +248,19 @@
         return closed
 
     def drop(self, prefix: KeyPrefix) -> None:
-        """Forget a generation whose work has all ended; its keys are refused from now on."""
+        """Drop a generation if all its keys are settled; its keys are refused from now on."""
         for held, generation in self._records.generations():
             if held == prefix and not generation.unsettled_count:
                 self._records.drop(prefix)
                 for suffix in generation.records:
-                    self._unkept.pop(IdempotencyKey(prefix, suffix), None)
+                    self._unconfirmed.pop(IdempotencyKey(prefix, suffix), None)
 
-    def _make_room(self, wanted: KeyPrefix) -> None:
-        """Forget the oldest generations while there is no room for a new record.
+    def _drop_oldest_generations(self, wanted: KeyPrefix) -> None:
+        """Drop the oldest generations while the store has no capacity for a new record.
 
-        Load: more new keys than the memory holds for ``retain_s``. Their resends are answered
-        ``unknown``, which costs less than refusing new work.
+        This happens when more new keys arrive than memory can hold for ``retain_s``. Retries with
+        keys of dropped generations get the outcome ``unknown``, which costs less than refusing new
+        requests.
         """
         for prefix, _ in self._records.generations():
             if not self._records.full:
--- a/src/egretrail/idempotency/_key.py
+++ b/src/egretrail/idempotency/_key.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: a prefix that the fleet issues, and the caller's own suffix."""
+"""Idempotency keys: a prefix that the fleet issues, and a suffix that the client chooses."""
 
 import base64
 import binascii
@@ -20,31 +20,31 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyPrefix:
-    """Names the processes that answer for the keys issued under it."""
+    """Identifies the processes that are responsible for the keys issued with this prefix."""
 
-    #: The only process that may start the work of these keys.
+    #: The only process that may start the requests of these keys.
     home: Incarnation
-    #: The process that records each key before its work starts; None: the home is alone.
+    #: The process that records each key before its request starts; None: there is no witness.
     witness: Incarnation | None
-    #: Numbered by the witness, or by a home without one; never used again.
+    #: Number assigned by the witness, or by a home without a witness; never reused.
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """One key: the work of at most one request."""
+    """One key: identifies at most one executed request."""
 
-    #: What the fleet issued.
+    #: The part issued by the fleet.
     prefix: KeyPrefix
-    #: What the caller chose.
+    #: The part chosen by the client.
     suffix: str
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedKey:
-    """The text has not the form of a key; nothing can have run under it."""
+    """The text does not have the form of a key; no request can have run with it."""
 
-    #: How long the text is; the text itself is the caller's and is not repeated.
+    #: Length of the text. The text itself is client data and is not echoed.
     size_chars: int
 
     def __str__(self) -> str:
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidKeySuffix:
-    """The caller's part is empty, too long or has characters other than letters, digits, _, -."""
+    """The suffix is empty, too long, or has characters other than letters, digits, _ and -."""
 
-    #: How long the suffix is.
+    #: Length of the suffix.
     size_chars: int
 
     def __str__(self) -> str:
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgedKey:
-    """The prefix was not issued under this fleet's present key."""
+    """The prefix was not signed with the fleet's current key."""
 
     def __str__(self) -> str:
         return "the prefix was not issued by this fleet"
@@ -74,13 +74,13 @@
 
 
 def issue_prefix(prefix: KeyPrefix, fleet_key: bytes) -> str:
-    """Return the text of a prefix, fit for a header field or a URL."""
+    """Return the text form of a prefix, safe in a header field or a URL."""
     content = _pack(prefix)
     return base64.urlsafe_b64encode(content + _mac(content, fleet_key)).decode().rstrip("=")
 
 
 def parse_key(text: str, fleet_key: bytes) -> Result[IdempotencyKey, KeyFailure]:
-    """Read ``PREFIX.SUFFIX`` and check that the fleet issued the prefix."""
+    """Parse ``PREFIX.SUFFIX`` and verify that the fleet issued the prefix."""
     issued, separator, suffix = text.partition(".")
     if not separator or not _PREFIX.fullmatch(issued):
         return Err(MalformedKey(len(text)))
@@ -94,7 +94,8 @@
     if not hmac.compare_digest(mac, _mac(content, fleet_key)):
         return Err(ForgedKey())
     prefix = _unpack(content)
-    # A second spelling of the same bytes would be a second key to the caller and one key here.
+    # Only the canonical encoding is accepted: a client would take two encodings of the same bytes
+    # for two keys, and they would be one key here.
     if prefix is None or issue_prefix(prefix, fleet_key) != issued:
         return Err(MalformedKey(len(text)))
     return Ok(IdempotencyKey(prefix, suffix))
@@ -114,7 +115,7 @@
 
 
 def _unpack(content: bytes) -> KeyPrefix | None:
-    """Read what this fleet's key has vouched for; None when another version wrote it."""
+    """Decode authenticated content; None when another version of the software wrote it."""
     try:
         fields = msgpack.unpackb(content)
     except (ValueError, msgpack.UnpackException):
--- a/src/egretrail/idempotency/_messages.py
+++ b/src/egretrail/idempotency/_messages.py
@@ -1,4 +1,7 @@
-"""The messages between receivers, homes and witnesses of keys."""
+"""The messages between receivers, homes and witnesses of keys.
+
+The receiver is the instance that a client sent the request to.
+"""
 
 import enum
 from dataclasses import dataclass
@@ -9,24 +12,24 @@
 
 
 class RecordVerdict(enum.Enum):
-    """What a witness says to a record."""
+    """A witness's reply to a request to record a key."""
 
-    #: Recorded: the home may start the work, once.
+    #: Recorded: the home may start the request once.
     RECORDED = "recorded"
-    #: The key was sealed; it must not start.
+    #: The key is sealed; its request must not start.
     SEALED = "sealed"
-    #: The generation is closed, or not held here; none of its new keys can start.
+    #: The generation is closed or not held here; none of its new keys may start.
     REFUSED = "refused"
 
 
 class KeyStanding(enum.Enum):
-    """What a home or a witness says of a key."""
+    """Status of a key at a home or a witness."""
 
-    #: The answer is final for now and is attached.
+    #: The reply contains the response or refusal to return to the client.
     ANSWERED = "answered"
-    #: The work goes on; ask again.
+    #: The request is still running; query again later.
     RUNNING = "running"
-    #: The key names another process.
+    #: Another process is responsible for the key.
     NOT_HERE = "not-here"
 
 
@@ -35,7 +38,7 @@
 class OpenGeneration(Message):
     """A home asks an instance to be its witness for a new generation."""
 
-    #: Numbers the home's openings, repeated in the reply.
+    #: Number of the opening, unique at the home; the reply repeats it.
     opening: int
 
 
@@ -44,20 +47,19 @@
 class GenerationOpened(Message):
     """The reply to ``OpenGeneration``."""
 
-    #: The number in the question.
+    #: The number from ``OpenGeneration``.
     opening: int
-    #: The new generation; None: not willing, for instance because it is stopping.
+    #: The new generation; None: declined, for instance because the instance is stopping.
     prefix: KeyPrefix | None
 
 
 @message("key-record")
 @dataclass(frozen=True, slots=True)
 class RecordKey(Message):
-    """A home asks its witness to record a key before the work starts."""
+    """A home asks its witness to record a key before the request starts."""
 
-    #: The key.
     key: IdempotencyKey
-    #: Digest of the caller and the request.
+    #: Digest of the client and the request.
     binding: bytes
 
 
@@ -66,27 +68,26 @@
 class RecordReply(Message):
     """The reply to ``RecordKey``."""
 
-    #: Whether the work may start.
+    #: Whether the request may start.
     verdict: RecordVerdict
 
 
 @message("key-outcome")
 @dataclass(frozen=True, slots=True)
 class KeepOutcome(Message):
-    """A home sends its witness what became of a key; acknowledged."""
+    """A home sends the outcome of a key to its witness; acknowledged."""
 
-    #: The key.
     key: IdempotencyKey
-    #: Digest of the caller and the request.
+    #: Digest of the client and the request.
     binding: bytes
-    #: The answer, or the refusal under which the key is sealed.
+    #: The response, or the refusal with which the key is sealed.
     answer: RecordedAnswer | Refusal
 
 
 @message("key-close")
 @dataclass(frozen=True, slots=True)
 class CloseGeneration(Message):
-    """A home takes no new keys in a generation; acknowledged."""
+    """A home has stopped accepting new keys in a generation; acknowledged."""
 
     #: The generation.
     prefix: KeyPrefix
@@ -95,32 +96,31 @@
 @message("key-run")
 @dataclass(frozen=True, slots=True)
 class RunKeyed(Message):
-    """A receiver passes a request on to its key's home; answered by ``KeyedReply``."""
+    """A receiver forwards a request to the home of its key; answered by ``KeyedReply``."""
 
-    #: The request, with the key as the caller sent it.
+    #: The request, with the key as the client sent it.
     request: RequestEnvelope
 
 
 @message("key-relay")
 @dataclass(frozen=True, slots=True)
 class RelayKeyed(Message):
-    """Asks an instance to find an answer, where the sender reaches neither home nor witness.
+    """Asks another instance to query a key whose home and witness the sender cannot reach.
 
-    Answered by ``KeyedReply``; not relayed any further.
+    Answered by ``KeyedReply``; never relayed again.
     """
 
-    #: The request, with the key as the caller sent it.
+    #: The request, with the key as the client sent it.
     request: RequestEnvelope
 
 
 @message("key-await")
 @dataclass(frozen=True, slots=True)
 class AwaitKeyed(Message):
-    """Asks a home what became of a key, without starting it; answered by ``KeyedReply``."""
+    """Queries a key at its home without starting its request; answered by ``KeyedReply``."""
 
-    #: The key.
     key: IdempotencyKey
-    #: Digest of the caller and the request.
+    #: Digest of the client and the request.
     binding: bytes
 
 
@@ -129,27 +129,26 @@
 class QueryWitness(Message):
     """A receiver that cannot reach the home asks the witness; answered by ``KeyedReply``."""
 
-    #: The key.
     key: IdempotencyKey
-    #: Digest of the caller and the request.
+    #: Digest of the client and the request.
     binding: bytes
 
 
 @message("key-reply")
 @dataclass(frozen=True, slots=True)
 class KeyedReply(Message):
-    """What a home or a witness says of a key."""
+    """The status of a key at a home or a witness."""
 
-    #: Whether there is an answer.
+    #: The status.
     standing: KeyStanding
-    #: The answer, when there is one.
+    #: The response or refusal; set when the status is ``ANSWERED``.
     answer: RecordedAnswer | Refusal | None = None
 
 
 @message("key-ask-prefix")
 @dataclass(frozen=True, slots=True)
 class AskPrefix(Message):
-    """Asks a home for the prefix to name to callers; answered by ``PrefixReply``."""
+    """Asks a home for the prefix to issue to clients; answered by ``PrefixReply``."""
 
 
 @message("key-prefix")
@@ -157,5 +156,5 @@
 class PrefixReply(Message):
     """The reply to ``AskPrefix``."""
 
-    #: The prefix; None: name none, for instance because the home is stopping.
+    #: The prefix; None: issue none, for instance because the home is stopping.
     prefix: str | None
--- a/src/egretrail/idempotency/_records.py
+++ b/src/egretrail/idempotency/_records.py
@@ -1,4 +1,4 @@
-"""Records of keys, grouped by generation, with the memory for answers bounded."""
+"""Records of keys, grouped by generation, with bounded memory for responses."""
 
 import enum
 from collections import OrderedDict
@@ -9,7 +9,7 @@
 from egretrail.idempotency._limits import KeyLimits
 from egretrail.request import Answer, Outcome, RecordedAnswer, Refusal, RefusalCause
 
-#: What a record keeps of an answer that is too large, or made room for newer ones.
+#: Replaces a response that is too large to keep or was evicted in favour of newer ones.
 ANSWER_DROPPED = Refusal(Outcome.RAN, RefusalCause.ANSWER_DROPPED)
 
 _ANSWER_OVERHEAD_BYTES = 200
@@ -17,25 +17,25 @@
 
 
 class Phase(enum.Enum):
-    """How far the work of a key is."""
+    """Progress of a key's request."""
 
-    #: At the home: the witness has not confirmed the record; nothing has started.
+    #: At the home: the witness has not confirmed the record; the request has not started.
     RECORDING = "recording"
     #: At the home: dispatched. At the witness: recorded, so that the home may have dispatched.
     STARTED = "started"
-    #: The answer is known; nothing will start any more.
+    #: The outcome is known; the request cannot start any more.
     SETTLED = "settled"
 
 
 @dataclass(slots=True)
 class Record:
-    """What a home or a witness knows of one key."""
+    """State of one key at a home or a witness."""
 
-    #: Digest of the caller and the request; None when the key was sealed before any was seen.
+    #: Digest of the client and the request; None when the key was sealed before any request.
     binding: bytes | None
-    #: How far the work is.
+    #: Progress of the request.
     phase: Phase
-    #: The answer, once settled.
+    #: The response or refusal, once settled.
     answer: Answer | None = None
 
 
@@ -43,18 +43,18 @@
 class Generation:
     """The records of one generation."""
 
-    #: When it was opened, on the clock of its holder.
+    #: When the generation was opened, on the clock of the process that holds it.
     opened_s: float
-    #: Whether new keys are taken; once false it stays so.
+    #: Whether new keys are accepted; never true again once it is false.
     accepting: bool = True
     #: Records that are not settled.
     unsettled_count: int = 0
-    #: Records by suffix; none is ever removed while the generation is held.
+    #: Records by suffix; no record is removed while the generation is held.
     records: dict[str, Record] = field(default_factory=dict)
 
 
 def answer_size_bytes(answer: Answer) -> int:
-    """Return about how much memory an answer takes."""
+    """Return the approximate memory size of a response."""
     if isinstance(answer, Refusal):
         return 0
     fields = sum(len(name) + len(value) + _FIELD_OVERHEAD_BYTES for name, value in answer.headers)
@@ -62,7 +62,10 @@
 
 
 class RecordStore:
-    """Generations of records. Dropping a generation is always safe: what is not held is refused."""
+    """Records by generation.
+
+    Dropping a generation is always safe: keys of a generation that is not held are refused.
+    """
 
     def __init__(self, limits: KeyLimits) -> None:
         self._limits = limits
@@ -73,7 +76,7 @@
 
     @property
     def answers_bytes(self) -> int:
-        """Return the memory taken by whole answers."""
+        """Return the memory that complete responses take."""
         return self._answers_bytes
 
     @property
@@ -92,21 +95,21 @@
         return self._records_count >= self._limits.records_count
 
     def generations(self) -> Iterator[tuple[KeyPrefix, Generation]]:
-        """Return the generations held, oldest first; the caller may drop while iterating."""
+        """Return the generations held, oldest first; they may be dropped while iterating."""
         return iter(list(self._generations.items()))
 
     def open(self, prefix: KeyPrefix, now_s: float) -> None:
-        """Hold a generation from now on."""
+        """Add an empty generation."""
         self._generations[prefix] = Generation(now_s)
 
     def close(self, prefix: KeyPrefix) -> None:
-        """Take no new keys in a generation, for good."""
+        """Stop accepting new keys in a generation, permanently."""
         generation = self._generations.get(prefix)
         if generation is not None:
             generation.accepting = False
 
     def drop(self, prefix: KeyPrefix) -> None:
-        """Forget a generation."""
+        """Drop a generation and its records."""
         generation = self._generations.pop(prefix, None)
         if generation is None:
             return
@@ -119,7 +122,7 @@
         return prefix in self._generations
 
     def accepts(self, prefix: KeyPrefix) -> bool:
-        """Return whether a generation takes new keys; a full one is closed here."""
+        """Return whether a generation accepts new keys; closes the generation when it is full."""
         generation = self._generations.get(prefix)
         if generation is None:
             return False
@@ -128,19 +131,19 @@
         return generation.accepting
 
     def find(self, key: IdempotencyKey) -> Record | None:
-        """Return the record of a key."""
+        """Return the record of a key; None when there is none."""
         generation = self._generations.get(key.prefix)
         return generation.records.get(key.suffix) if generation is not None else None
 
     def add(self, key: IdempotencyKey, record: Record) -> None:
-        """Add the record of a new key, not settled yet, to a generation that is held."""
+        """Add the unsettled record of a new key to a generation that is held."""
         generation = self._generations[key.prefix]
         generation.records[key.suffix] = record
         generation.unsettled_count += 1
         self._records_count += 1
 
     def settle(self, key: IdempotencyKey, record: Record, answer: Answer) -> None:
-        """Give a record its answer, and make room for it."""
+        """Store the outcome of a key, evicting older responses if memory is exceeded."""
         record.phase = Phase.SETTLED
         self._generations[key.prefix].unsettled_count -= 1
         size_bytes = answer_size_bytes(answer)
@@ -151,18 +154,18 @@
         if isinstance(answer, RecordedAnswer):
             self._answers[key] = size_bytes
             self._answers_bytes += size_bytes
-            self._make_room()
+            self._evict_responses()
 
     def touch(self, key: IdempotencyKey) -> None:
-        """Count an answer as used now."""
+        """Mark a response as the most recently used."""
         if key in self._answers:
             self._answers.move_to_end(key)
 
-    def _make_room(self) -> None:
-        """Shrink the least recently used answers to their outcome.
+    def _evict_responses(self) -> None:
+        """Replace the least recently used responses by their outcome until memory suffices.
 
-        Load: a burst of large answers. Harm prevented: the process outgrowing its memory. Only
-        answers are dropped here, never records: a dropped record could let its key run again.
+        Bounds the memory during a burst of large responses. Only responses are evicted, never
+        records: without its record a key could run again.
         """
         while self._answers_bytes > self._limits.answers_size_bytes and self._answers:
             key, size_bytes = self._answers.popitem(last=False)
--- a/src/egretrail/idempotency/_witness.py
+++ b/src/egretrail/idempotency/_witness.py
@@ -1,7 +1,8 @@
-"""The witness of other instances' keys: records each before its work starts, answers after.
+"""The witness of other instances' keys: records a key before the key's request starts.
 
-It numbers the generations itself and refuses what it does not hold, so that forgetting a
-generation, for whatever reason, can never let a sealed key run.
+When the home is unreachable, the witness answers for the key. The witness numbers the generations
+and refuses keys of generations that it does not hold. A dropped generation can therefore never let
+a sealed key run, whatever the reason for dropping it.
 """
 
 from egretrail.idempotency._key import IdempotencyKey, KeyPrefix
@@ -19,7 +20,7 @@
 
 
 class Witness:
-    """The records that this process keeps for homes elsewhere."""
+    """The records that this process keeps for the homes on other instances."""
 
     def __init__(self, own: Incarnation, limits: KeyLimits) -> None:
         self._own = own
@@ -29,32 +30,33 @@
 
     @property
     def records(self) -> RecordStore:
-        """Return the records, for reports."""
+        """Return the records, for metrics and reports."""
         return self._records
 
     def open(self, home: Incarnation, now_s: float) -> KeyPrefix:
-        """Open a generation for a home, under a number that was never used.
+        """Open a generation for a home, with a number that was never used.
 
-        Load: homes that restart again and again, or doubled messages. Harm prevented: memory
-        without bound. The oldest generation goes; its keys are answered ``unknown`` from then on,
-        and its home, told at its next record, opens another.
+        Homes that restart repeatedly, or duplicate messages, would make memory grow without bound.
+        Above ``witness_generations`` the oldest generation is therefore dropped: its keys get the
+        outcome ``unknown`` from then on, and its home opens another generation when its next
+        request to record a key is refused.
         """
         self._last_generation += 1
         prefix = KeyPrefix(home, self._own, self._last_generation)
         self._records.open(prefix, now_s)
-        held = [held for held, _ in self._records.generations()]
+        held = [held_prefix for held_prefix, _ in self._records.generations()]
         for oldest in held[: -self._limits.witness_generations]:
             self._records.drop(oldest)
         return prefix
 
     def on_record(self, sender: Incarnation, key: IdempotencyKey, binding: bytes) -> RecordVerdict:
-        """Record a key before its home starts it, unless it is sealed."""
+        """Record a key before its home starts the request, unless the key is sealed."""
         if sender != key.prefix.home or not self._records.holds(key.prefix):
             return RecordVerdict.REFUSED
         record = self._records.find(key)
         if record is not None:
-            repeated = record.phase is Phase.STARTED and record.binding == binding
-            return RecordVerdict.RECORDED if repeated else RecordVerdict.SEALED
+            is_duplicate = record.phase is Phase.STARTED and record.binding == binding
+            return RecordVerdict.RECORDED if is_duplicate else RecordVerdict.SEALED
         if not self._accepts(key.prefix):
             return RecordVerdict.REFUSED
         self._records.add(key, Record(binding, Phase.STARTED))
@@ -63,7 +65,7 @@
     def on_outcome(
         self, sender: Incarnation, key: IdempotencyKey, binding: bytes, answer: Answer
     ) -> None:
-        """Keep what became of a key; the home's word that it was sealed seals it here, too."""
+        """Store the outcome that the home sent; a key that the home sealed is sealed here, too."""
         if sender != key.prefix.home:
             return
         record = self._records.find(key)
@@ -74,10 +76,10 @@
             self._records.settle(key, record, answer)
 
     def on_query(self, key: IdempotencyKey, binding: bytes) -> Answer | None:
-        """Answer for a home that cannot be reached; None: recorded, its outcome not known yet.
+        """Answer for an unreachable home; None: the key is recorded, its outcome not known yet.
 
-        A key without a record is sealed, before the caller is told that it was not run: the home
-        can no longer have it recorded, so it cannot start it.
+        A key without a record is sealed before the client gets the outcome "not run": the home can
+        then no longer get the key recorded, and so cannot start its request.
         """
         if not self._records.holds(key.prefix):
             return RECORD_LOST
@@ -90,22 +92,22 @@
         return record.answer
 
     def on_close(self, sender: Incarnation, prefix: KeyPrefix) -> None:
-        """Take no new records in a generation that its home has closed."""
+        """Stop accepting records in a generation that its home has closed."""
         if sender == prefix.home:
             self._records.close(prefix)
 
     def tick(self, now_s: float) -> None:
-        """Drop generations that their homes, too, hold no longer."""
+        """Drop generations older than ``retain_s``, after which their homes drop them, too."""
         for prefix, generation in self._records.generations():
             if now_s - generation.opened_s >= self._limits.retain_s:
                 self._records.drop(prefix)
 
     def drop(self, prefix: KeyPrefix) -> None:
-        """Forget a generation."""
+        """Drop a generation and its records."""
         self._records.drop(prefix)
 
     def _accepts(self, wanted: KeyPrefix) -> bool:
-        """Return whether a generation takes a new record, forgetting older ones to make room."""
+        """Return whether a generation accepts a new record; a full store drops older ones."""
         for prefix, _ in self._records.generations():
             if self._records.full and prefix != wanted:
                 self._records.drop(prefix)
@@ -113,7 +115,7 @@
 
     def _seal(self, key: IdempotencyKey) -> Refusal:
         if not self._accepts(key.prefix):
-            # A closed generation takes no record any more: all its unknown keys are sealed.
+            # A closed generation accepts no more records, which seals all its unrecorded keys.
             return GENERATION_CLOSED
         record = Record(None, Phase.STARTED)
         self._records.add(key, record)
--- a/src/egretrail/idempotency/tests/exploration.py
+++ b/src/egretrail/idempotency/tests/exploration.py
@@ -1,8 +1,8 @@
-"""Exhaustive exploration of the protocol between a key's home and its witness.
+"""Model checker for the protocol between a key's home and its witness: visits every state.
 
 The network is the set of all messages ever sent: at each step any of them may be delivered, any
-number of times, in any order, or never. So losses, doubles, reordering and pauses of any length are
-all covered, and a timeout is a step that may come at any moment.
+number of times, in any order, or never. This covers loss, duplication, reordering and delays of any
+length. A timeout is a step that may happen at any time.
 """
 
 from collections.abc import Callable, Hashable, Iterator, Mapping, Sequence
@@ -50,41 +50,41 @@
 class Case:
     """What may happen in one exploration."""
 
-    #: Home and witness of each key, None: the home is alone; both roles of an instance die with it.
+    #: Home and witness of each key (None: no witness). Killing an instance ends both its roles.
     keys: Sequence[tuple[str, str | None]] = (("a", "b"),)
-    #: Each request names its key by index, and its caller's binding.
+    #: Index of the key, and binding, of each request.
     requests: Sequence[tuple[int, bytes]] = ((0, b"x"),)
     #: Instances that may be killed, and those that may then start again.
     killed: Sequence[str] = ("a", "b")
     restarted: Sequence[str] = ()
     #: Whether homes close, drop and reopen generations, and witnesses drop them.
     generations_end: bool = False
-    #: Whether homes stop as planned.
+    #: Whether homes stop gracefully.
     stops: bool = False
-    #: Bounds under which the machines run.
+    #: Limits of the state machines.
     limits: KeyLimits = field(default_factory=KeyLimits)
 
 
-#: One thing that may happen next: its name, and how it changes a world.
+#: A possible next step: its name, and a function that applies it to a world.
 Event = tuple[str, Callable[[World], None]]
 
 
 @dataclass(frozen=True, slots=True)
 class Explored:
-    """What an exploration found."""
+    """Result of an exploration."""
 
     #: Distinct states reached.
     states_count: int
-    #: Steps between them.
+    #: Transitions taken.
     steps_count: int
-    #: The shortest way to the violation; empty when there is none.
+    #: The shortest path to the violation; empty when there is none.
     counter_example: Sequence[str]
 
 
 def explore(case: Case, guards: Guards | None = None, sought: Violation | None = None) -> Explored:
-    """Visit every reachable state, nearest first, until a step violates a promise.
+    """Visit every reachable state in breadth-first order until a step violates an invariant.
 
-    With ``sought`` only that promise counts: a missing guard often breaks several.
+    With ``sought``, only that violation counts: a missing guard often causes several.
     """
     kinds = guards or Guards()
     first = _first_world(case, kinds)
@@ -95,12 +95,12 @@
         following: list[World] = []
         for state in layer:
             here = fingerprint(state)
-            for name, act in _events(state, case, kinds):
+            for name, apply in _events(state, case, kinds):
                 world = clone(state)
-                act(world)
+                apply(world)
                 steps_count += 1
                 if sought in world.violations or (sought is None and world.violations):
-                    return Explored(len(parents), steps_count, [*_way(parents, here), name])
+                    return Explored(len(parents), steps_count, [*_path_to(parents, here), name])
                 world.violations = frozenset()
                 reached = fingerprint(world)
                 if reached not in parents:
@@ -130,7 +130,7 @@
     return world
 
 
-def _open(world: World, home: str, witness: str | None, doubled: bool) -> KeyPrefix:
+def _open(world: World, home: str, witness: str | None, resend: bool) -> KeyPrefix:
     at_home = world.homes[home]
     assert at_home is not None
     if witness is None:
@@ -142,7 +142,7 @@
     opening = at_home.ask_generation()
     prefix = at_witness.open(world.own(home), _NOW_S)
     assert at_home.open(opening, prefix, _NOW_S)
-    if doubled:
+    if resend:
         reply = Sent(home, "opened", world.own(witness), prefix=prefix, opening=opening)
         world.send(reply)
     return prefix
@@ -183,12 +183,12 @@
 
 
 def _request(key: IdempotencyKey, binding: bytes) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         home = world.home(key.prefix.home.instance)
         assert home is not None
         step = home.on_request(key, binding)
         if isinstance(step, Reply):
-            world.tell(key, binding, step.answer)
+            world.respond(key, binding, step.answer)
         elif isinstance(step, Dispatch):
             world.dispatch(key, binding)
         if isinstance(step, AskWitness):
@@ -197,35 +197,35 @@
             sender = world.own(key.prefix.home.instance)
             world.send(Sent(to, "record", sender, key, binding))
 
-    return act
+    return apply
 
 
 def _await(key: IdempotencyKey, binding: bytes) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         home = world.home(key.prefix.home.instance)
         assert home is not None
         step = home.on_await(key, binding) if home.owns(key) else None
         if isinstance(step, Reply):
-            world.tell(key, binding, step.answer)
+            world.respond(key, binding, step.answer)
             _send_outcome(world, key, binding, step.answer)
 
-    return act
+    return apply
 
 
 def _query(key: IdempotencyKey, binding: bytes) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         assert key.prefix.witness is not None
         witness = world.witness(key.prefix.witness.instance)
         assert witness is not None
         answer = witness.on_query(key, binding)
         if answer is not None:
-            world.tell(key, binding, answer)
+            world.respond(key, binding, answer)
 
-    return act
+    return apply
 
 
 def _verdict(key: IdempotencyKey, verdict: RecordVerdict | None) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         home = world.home(key.prefix.home.instance)
         if home is None or not home.owns(key):
             return
@@ -235,24 +235,24 @@
         if isinstance(step, Dispatch):
             world.dispatch(key, binding)
         elif isinstance(step, Settled):
-            world.tell(key, binding, step.answer)
+            world.respond(key, binding, step.answer)
             _send_outcome(world, key, binding, step.answer)
 
-    return act
+    return apply
 
 
 def _end(key: IdempotencyKey, binding: bytes, answer: Answer) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         world.executing -= {(key, binding)}
         if answer == _REFUSED:
             world.may_have_run -= {key}
         home = world.home(key.prefix.home.instance)
         if home is not None and home.owns(key):
             step = home.on_executed(key, answer)
-            world.tell(key, binding, step.answer)
+            world.respond(key, binding, step.answer)
             _send_outcome(world, key, binding, step.answer)
 
-    return act
+    return apply
 
 
 def _send_outcome(world: World, key: IdempotencyKey, binding: bytes, answer: Answer) -> None:
@@ -262,55 +262,55 @@
 
 
 def _arrive(message: Sent) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         if world.homes[message.to] is None:
             return
         key, binding = message.key, message.binding
         if message.kind == "record" and key is not None:
-            verdict = _alive(world.witness(message.to)).on_record(message.sender, key, binding)
+            verdict = _not_none(world.witness(message.to)).on_record(message.sender, key, binding)
             own = world.own(message.to)
             world.send(Sent(key.prefix.home.instance, "verdict", own, key, verdict=verdict))
         elif message.kind == "verdict" and key is not None:
             _verdict(key, message.verdict)(world)
         elif message.kind == "outcome" and key is not None and message.answer is not None:
-            _alive(world.witness(message.to)).on_outcome(
+            _not_none(world.witness(message.to)).on_outcome(
                 message.sender, key, binding, message.answer
             )
-            home_again = world.home(key.prefix.home.instance)
-            if home_again is not None:
-                home_again.on_kept(key)
+            sender_home = world.home(key.prefix.home.instance)
+            if sender_home is not None:
+                sender_home.on_kept(key)
         elif message.kind == "close" and message.prefix is not None:
-            _alive(world.witness(message.to)).on_close(message.sender, message.prefix)
+            _not_none(world.witness(message.to)).on_close(message.sender, message.prefix)
         elif message.kind == "opened" and message.prefix is not None:
-            _alive(world.home(message.to)).open(message.opening, message.prefix, _NOW_S)
+            _not_none(world.home(message.to)).open(message.opening, message.prefix, _NOW_S)
 
-    return act
+    return apply
 
 
 def _kill(name: str) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         world.replace(name, None, None)
 
-    return act
+    return apply
 
 
 def _restart(name: str, case: Case, guards: Guards) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         world.numbers[name] += 1
         own = world.own(name)
         world.replace(name, guards.home(own, case.limits), guards.witness(own, case.limits))
 
-    return act
+    return apply
 
 
 def _close(prefix: KeyPrefix) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         home = world.home(prefix.home.instance)
         if home is not None and home.records.holds(prefix):
             home.close(prefix)
             _send_close(world, prefix)
 
-    return act
+    return apply
 
 
 def _send_close(world: World, prefix: KeyPrefix) -> None:
@@ -319,42 +319,42 @@
 
 
 def _drop_at_home(prefix: KeyPrefix) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         home = world.home(prefix.home.instance)
         if home is not None:
             home.drop(prefix)
 
-    return act
+    return apply
 
 
 def _drop_at_witness(prefix: KeyPrefix) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         witness = world.witness(prefix.witness.instance) if prefix.witness else None
         if witness is not None:
             witness.drop(prefix)
 
-    return act
+    return apply
 
 
 def _stop(prefix: KeyPrefix) -> Callable[[World], None]:
-    def act(world: World) -> None:
+    def apply(world: World) -> None:
         home = world.home(prefix.home.instance)
         if home is not None:
             for closed in home.stop():
                 _send_close(world, closed)
 
-    return act
+    return apply
 
 
-def _way(parents: Mapping[Hashable, tuple[Hashable, str] | None], state: Hashable) -> list[str]:
-    way: list[str] = []
+def _path_to(parents: Mapping[Hashable, tuple[Hashable, str] | None], state: Hashable) -> list[str]:
+    path: list[str] = []
     parent = parents[state]
     while parent is not None:
-        way.append(parent[1])
+        path.append(parent[1])
         parent = parents[parent[0]]
-    return way[::-1]
+    return path[::-1]
 
 
-def _alive(machine: M | None) -> M:
+def _not_none(machine: M | None) -> M:
     assert machine is not None
     return machine
--- a/src/egretrail/idempotency/tests/exploration_world.py
+++ b/src/egretrail/idempotency/tests/exploration_world.py
@@ -1,4 +1,4 @@
-"""One state of the explored protocol: machines, messages, and what callers were told."""
+"""One state of the explored protocol: state machines, messages, and responses to clients."""
 
 import copy
 import enum
@@ -23,17 +23,17 @@
 
 
 class Violation(enum.Enum):
-    """What must never happen."""
+    """An invariant that a step has violated."""
 
-    SECOND_DISPATCH = "dispatched a second time"
-    FALSE_NOT_RUN = "told not-run, and it has run or may run"
-    FALSE_RAN = "told ran, and it has not run"
-    CROSSED_ANSWER = "told another request's answer"
+    SECOND_DISPATCH = "dispatched twice"
+    FALSE_NOT_RUN = "reported not-run, but it has run or may run"
+    FALSE_RAN = "reported ran, but it has not run"
+    CROSSED_ANSWER = "got the response to another request"
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A message on the network: its receiver's instance, and what it says."""
+    """A message on the network: its receiving instance and its content."""
 
     to: str
     kind: str
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class World:
-    """One state of everything."""
+    """One state of the whole system."""
 
     homes: dict[str, Home | None]
     witnesses: dict[str, Witness | None]
@@ -62,45 +62,45 @@
     executing: frozenset[tuple[IdempotencyKey, bytes]] = frozenset()
     dispatched: frozenset[IdempotencyKey] = frozenset()
     may_have_run: frozenset[IdempotencyKey] = frozenset()
-    told_not_run: frozenset[IdempotencyKey] = frozenset()
+    reported_not_run: frozenset[IdempotencyKey] = frozenset()
     violations: frozenset[Violation] = frozenset()
-    #: Machines that belong to this world alone; the others are shared with the world before.
-    touched: set[int] = field(default_factory=set)
+    #: Ids of machines that only this world refers to; others are shared with its predecessor.
+    copied_ids: set[int] = field(default_factory=set)
     #: Fingerprints of the machines that are not touched.
     prints: dict[int, Hashable] = field(default_factory=dict)
 
     def home(self, name: str) -> Home | None:
-        """Return the home of an instance, to be changed."""
-        self.homes[name] = self._touch(self.homes[name])
+        """Return the home of an instance, copied for modification."""
+        self.homes[name] = self._copied(self.homes[name])
         return self.homes[name]
 
     def witness(self, name: str) -> Witness | None:
-        """Return the witness of an instance, to be changed."""
-        self.witnesses[name] = self._touch(self.witnesses[name])
+        """Return the witness of an instance, copied for modification."""
+        self.witnesses[name] = self._copied(self.witnesses[name])
         return self.witnesses[name]
 
     def replace(self, name: str, home: Home | None, witness: Witness | None) -> None:
-        """End or start a process."""
+        """Replace both machines of an instance: None ends its process."""
         self.homes[name] = home
         self.witnesses[name] = witness
 
-    def _touch(self, machine: M) -> M:
-        if machine is None or id(machine) in self.touched:
+    def _copied(self, machine: M) -> M:
+        if machine is None or id(machine) in self.copied_ids:
             return machine
         copied = _clone_machine(machine)
-        self.touched.add(id(copied))
+        self.copied_ids.add(id(copied))
         return copied
 
     def own(self, name: str) -> Incarnation:
-        """Return the present incarnation of an instance."""
+        """Return the current incarnation of an instance."""
         return Incarnation(InstanceName(name), self.numbers[name])
 
     def send(self, message: Sent) -> None:
-        """Put a message on the network, for good."""
+        """Put a message on the network, where it stays."""
         self.sent |= {_interned.setdefault(message, message)}
 
     def dispatch(self, key: IdempotencyKey, binding: bytes) -> None:
-        """Start the work of a key."""
+        """Start the request of a key."""
         if key in self.dispatched:
             self.violations |= {Violation.SECOND_DISPATCH}
         self.dispatched |= {key}
@@ -108,35 +108,35 @@
         self.executing |= {(key, binding)}
         self._check_not_run(key)
 
-    def tell(self, key: IdempotencyKey, binding: bytes, answer: Answer) -> None:
-        """Tell a caller what the answer to its request is."""
+    def respond(self, key: IdempotencyKey, binding: bytes, answer: Answer) -> None:
+        """Send a client the response to its request, and check it."""
         if isinstance(answer, RecordedAnswer):
             if answer.body != binding:
                 self.violations |= {Violation.CROSSED_ANSWER}
         elif answer.outcome is Outcome.NOT_RUN:
-            self.told_not_run |= {key}
+            self.reported_not_run |= {key}
         elif answer.outcome is Outcome.RAN and key not in self.may_have_run:
             self.violations |= {Violation.FALSE_RAN}
         self._check_not_run(key)
 
     def _check_not_run(self, key: IdempotencyKey) -> None:
-        if key in self.told_not_run and key in self.may_have_run:
+        if key in self.reported_not_run and key in self.may_have_run:
             self.violations |= {Violation.FALSE_NOT_RUN}
 
 
 def clone(world: World) -> World:
-    """Return a world that may be changed; machines are copied when they are first touched."""
+    """Return a copy that may be changed; machines are copied when they are first modified."""
     cloned = copy.copy(world)
     cloned.homes = dict(world.homes)
     cloned.witnesses = dict(world.witnesses)
     cloned.numbers = dict(world.numbers)
-    cloned.touched = set()
+    cloned.copied_ids = set()
     cloned.prints = dict(world.prints)
     return cloned
 
 
 def _clone_machine(machine: M) -> M:
-    """Copy a machine; whatever it holds is immutable, a dictionary of such, or its records."""
+    """Copy a machine, whose values are immutable, dictionaries of immutable values, or records."""
     if machine is None:
         return machine
     copied: M = object.__new__(type(machine))
@@ -160,11 +160,11 @@
 
 
 def fingerprint(world: World) -> Hashable:
-    """Return what tells two worlds apart."""
+    """Return a value that is equal for two worlds in the same state."""
     machines: list[object] = [*world.homes.values(), *world.witnesses.values()]
     prints = {id(machine): world.prints.get(id(machine)) for machine in machines}
     for machine in machines:
-        if prints[id(machine)] is None or id(machine) in world.touched:
+        if prints[id(machine)] is None or id(machine) in world.copied_ids:
             prints[id(machine)] = _machine_fingerprint(machine)
     world.prints = prints
     return (
@@ -174,16 +174,16 @@
         world.executing,
         world.dispatched,
         world.may_have_run,
-        world.told_not_run,
+        world.reported_not_run,
     )
 
 
 def _machine_fingerprint(machine: object) -> Hashable:
     if machine is None:
         return 0
-    print_ = tuple(_value_fingerprint(value) for value in vars(machine).values())
-    # A number stands for each, so that comparing worlds compares numbers.
-    return _numbers.setdefault((type(machine), print_), len(_numbers) + 1)
+    state = tuple(_value_fingerprint(value) for value in vars(machine).values())
+    # Each fingerprint is replaced by a number, which makes comparing worlds cheap.
+    return _numbers.setdefault((type(machine), state), len(_numbers) + 1)
 
 
 def _value_fingerprint(value: Any) -> Hashable:
@@ -197,7 +197,7 @@
 
 
 def _records_fingerprint(generation: Generation) -> Hashable:
-    # As a set: in which order keys came in decides nothing.
+    # A set: the order in which keys arrived does not affect behaviour.
     return frozenset(
         (suffix, record.binding, record.phase, record.answer)
         for suffix, record in generation.records.items()
--- a/src/egretrail/idempotency/tests/test_exploration.py
+++ b/src/egretrail/idempotency/tests/test_exploration.py
@@ -1,4 +1,4 @@
-"""The protocol holds in every reachable state, and each guard is needed."""
+"""The invariants hold in every reachable state, and every guard is necessary."""
 
 from dataclasses import dataclass
 
@@ -29,7 +29,7 @@
 _BOTH = ("a", "b")
 _RESTARTS = Case(restarted=_BOTH)
 _GENERATIONS = Case(generations_end=True, stops=True, restarted=_BOTH)
-_TWO_CALLERS = Case(requests=(_X, _Y), restarted=_BOTH)
+_TWO_CLIENTS = Case(requests=(_X, _Y), restarted=_BOTH)
 _FULL = Case(_SAME_HOME, _TWO, limits=KeyLimits(generation_keys=1))
 
 
@@ -52,7 +52,7 @@
             "answers_too_large_to_keep": Expected(
                 Case(restarted=_BOTH, limits=KeyLimits(answer_size_bytes=0)), 304
             ),
-            "one_key_two_callers": Expected(_TWO_CALLERS, 1260),
+            "one_key_two_callers": Expected(_TWO_CLIENTS, 1260),
             "generations_end_and_stops": Expected(_GENERATIONS, 2502),
             "two_callers_generations_end": Expected(
                 Case(requests=(_X, _Y), generations_end=True, stops=True), 4606
@@ -71,13 +71,13 @@
             "two_keys_in_a_full_generation": Expected(_FULL, 640),
         }
     )
-    def test_no_reachable_state_breaks_a_promise(self, expected: Expected) -> None:
+    def test_no_reachable_state_violates_an_invariant(self, expected: Expected) -> None:
         found = explore(expected.case)
         self.assertEqual([], found.counter_example)
         self.assertEqual(expected.states_count, found.states_count)
 
 
-class StartsBeforeTheAck(Home):
+class DispatchesBeforeTheVerdict(Home):
     def on_request(self, key: IdempotencyKey, binding: bytes) -> RequestStep:
         step = super().on_request(key, binding)
         record = self.records.find(key)
@@ -87,7 +87,7 @@
         return Dispatch()
 
 
-class StartsOnEveryAck(Home):
+class DispatchesOnEveryVerdict(Home):
     def _awaits_verdict(self, record: Record) -> bool:
         return True
 
@@ -97,12 +97,12 @@
         pass
 
 
-class ForgetsWhatItRefused(Home):
+class ForgetsRefusedKeys(Home):
     def _seal(self, key: IdempotencyKey, record: Record, refusal: Refusal) -> None:
         _forget(self, key)
 
 
-class ForgetsWhatWasNotDispatched(Home):
+class ForgetsUndispatchedKeys(Home):
     def on_executed(self, key: IdempotencyKey, answer: Answer) -> Settled:
         settled = super().on_executed(key, answer)
         if isinstance(answer, Refusal) and answer.outcome is Outcome.NOT_RUN:
@@ -110,7 +110,7 @@
         return settled
 
 
-class MakesRoomByForgetting(Home):
+class EvictsRecords(Home):
     def on_request(self, key: IdempotencyKey, binding: bytes) -> RequestStep:
         for _, generation in self.records.generations():
             if key.suffix not in generation.records:
@@ -118,7 +118,7 @@
         return super().on_request(key, binding)
 
 
-class AnswersAnyRequest(Home):
+class IgnoresTheBinding(Home):
     def _same_request(self, record: Record, binding: bytes) -> bool:
         return True
 
@@ -135,12 +135,12 @@
         return True
 
 
-class SealsNothing(Witness):
+class WitnessDoesNotSeal(Witness):
     def _seal(self, key: IdempotencyKey) -> Refusal:
         return _SEALED
 
 
-class RecordsWhatIsSealed(Witness):
+class RecordsSealedKeys(Witness):
     def on_record(self, sender: Incarnation, key: IdempotencyKey, binding: bytes) -> RecordVerdict:
         super().on_record(sender, key, binding)
         return RecordVerdict.RECORDED
@@ -153,21 +153,21 @@
         return super().on_record(sender, key, binding)
 
 
-class ReopensWhatItForgot(Witness):
+class ReopensDroppedGenerations(Witness):
     def on_record(self, sender: Incarnation, key: IdempotencyKey, binding: bytes) -> RecordVerdict:
         if not self.records.holds(key.prefix):
             self.records.open(key.prefix, 0.0)
         return super().on_record(sender, key, binding)
 
 
-class TellsAnyCaller(Witness):
+class WitnessIgnoresTheBinding(Witness):
     def _same_request(self, record: Record, binding: bytes) -> bool:
         return True
 
 
 @dataclass(frozen=True, slots=True)
 class Unguarded:
-    """Machines that lack a guard, and what they break."""
+    """State machines that lack a guard, and the violation that this causes."""
 
     case: Case
     guards: Guards
@@ -177,26 +177,26 @@
 class GuardsTest(EgretrailTestCase):
     @cases(
         {
-            "dispatch_only_after_the_ack": Unguarded(
-                Case(), Guards(home=StartsBeforeTheAck), Violation.FALSE_NOT_RUN
+            "dispatch_only_after_the_verdict": Unguarded(
+                Case(), Guards(home=DispatchesBeforeTheVerdict), Violation.FALSE_NOT_RUN
             ),
-            "a_second_ack_starts_nothing": Unguarded(
-                Case(), Guards(home=StartsOnEveryAck), Violation.SECOND_DISPATCH
+            "a_second_verdict_starts_nothing": Unguarded(
+                Case(), Guards(home=DispatchesOnEveryVerdict), Violation.SECOND_DISPATCH
             ),
-            "the_home_seals_before_it_says_not_run": Unguarded(
+            "the_home_seals_before_it_reports_not_run": Unguarded(
                 Case(), Guards(home=RefusesWithoutSealing), Violation.FALSE_NOT_RUN
             ),
             "the_home_keeps_its_seals": Unguarded(
-                Case(), Guards(home=ForgetsWhatItRefused), Violation.FALSE_NOT_RUN
+                Case(), Guards(home=ForgetsRefusedKeys), Violation.FALSE_NOT_RUN
             ),
             "a_refused_dispatch_seals": Unguarded(
-                Case(), Guards(home=ForgetsWhatWasNotDispatched), Violation.SECOND_DISPATCH
+                Case(), Guards(home=ForgetsUndispatchedKeys), Violation.SECOND_DISPATCH
             ),
             "a_full_generation_keeps_its_records": Unguarded(
-                _FULL, Guards(home=MakesRoomByForgetting), Violation.SECOND_DISPATCH
+                _FULL, Guards(home=EvictsRecords), Violation.SECOND_DISPATCH
             ),
             "the_home_compares_the_binding": Unguarded(
-                _TWO_CALLERS, Guards(home=AnswersAnyRequest), Violation.CROSSED_ANSWER
+                _TWO_CLIENTS, Guards(home=IgnoresTheBinding), Violation.CROSSED_ANSWER
             ),
             "a_dropped_generation_stays_dropped": Unguarded(
                 _GENERATIONS, Guards(home=OpensOnDoubledReplies), Violation.SECOND_DISPATCH
@@ -204,24 +204,24 @@
             "keys_end_with_their_process": Unguarded(
                 _RESTARTS, Guards(home=AdoptsKeysOfEarlierProcesses), Violation.SECOND_DISPATCH
             ),
-            "the_witness_seals_before_it_says_not_run": Unguarded(
-                Case(), Guards(witness=SealsNothing), Violation.FALSE_NOT_RUN
+            "the_witness_seals_before_it_reports_not_run": Unguarded(
+                Case(), Guards(witness=WitnessDoesNotSeal), Violation.FALSE_NOT_RUN
             ),
             "the_seal_is_final": Unguarded(
-                Case(), Guards(witness=RecordsWhatIsSealed), Violation.FALSE_NOT_RUN
+                Case(), Guards(witness=RecordsSealedKeys), Violation.FALSE_NOT_RUN
             ),
             "a_closed_generation_records_nothing": Unguarded(
                 _GENERATIONS, Guards(witness=RecordsInClosedGenerations), Violation.FALSE_NOT_RUN
             ),
             "a_forgotten_generation_records_nothing": Unguarded(
-                _GENERATIONS, Guards(witness=ReopensWhatItForgot), Violation.FALSE_NOT_RUN
+                _GENERATIONS, Guards(witness=ReopensDroppedGenerations), Violation.FALSE_NOT_RUN
             ),
             "the_witness_compares_the_binding": Unguarded(
-                _TWO_CALLERS, Guards(witness=TellsAnyCaller), Violation.CROSSED_ANSWER
+                _TWO_CLIENTS, Guards(witness=WitnessIgnoresTheBinding), Violation.CROSSED_ANSWER
             ),
         }
     )
-    def test_without_the_guard_there_is_a_counter_example(self, unguarded: Unguarded) -> None:
+    def test_removing_a_guard_gives_a_counter_example(self, unguarded: Unguarded) -> None:
         found = explore(unguarded.case, unguarded.guards, unguarded.violation)
         self.assertNotEqual([], found.counter_example)
 
--- a/src/egretrail/idempotency/tests/test_key.py
+++ b/src/egretrail/idempotency/tests/test_key.py
@@ -1,4 +1,4 @@
-"""Keys, their prefixes and what they are bound to."""
+"""Parsing of keys and prefixes, and the binding of keys to requests."""
 
 from dataclasses import replace
 from typing import Any
@@ -33,7 +33,7 @@
 
 class ParseTest(EgretrailTestCase):
     @cases({"with_witness": _PREFIX, "alone": KeyPrefix(_HOME, None, 1)})
-    def test_an_issued_prefix_is_read_back(self, prefix: KeyPrefix) -> None:
+    def test_an_issued_prefix_is_parsed(self, prefix: KeyPrefix) -> None:
         text = issue_prefix(prefix, _FLEET_KEY)
         parsed = parse_key(f"{text}.order-7_A", _FLEET_KEY)
         self.assertEqual(Ok(IdempotencyKey(prefix, "order-7_A")), parsed)
@@ -54,7 +54,7 @@
             "not_ascii": (_ISSUED + ".ä", InvalidKeySuffix),
         }
     )
-    def test_other_texts_are_typed_failures(self, row: tuple[str, type[object]]) -> None:
+    def test_invalid_keys_give_typed_failures(self, row: tuple[str, type[object]]) -> None:
         parsed = parse_key(row[0], _FLEET_KEY)
         assert isinstance(parsed, Err)
         self.assertIsInstance(parsed.err_value, row[1])
@@ -62,17 +62,17 @@
     def test_another_fleets_prefix_is_refused(self) -> None:
         self.assertEqual(Err(ForgedKey()), parse_key(_ISSUED + ".a", b"other fleet key "))
 
-    def test_one_prefix_has_one_spelling(self) -> None:
-        respelled = {
+    def test_a_prefix_has_one_valid_encoding(self) -> None:
+        variants = {
             _ISSUED[:-1] + last
             for last in "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
         }
-        accepted = [text for text in respelled if parse_key(text + ".a", _FLEET_KEY).is_ok()]
+        accepted = [text for text in variants if parse_key(text + ".a", _FLEET_KEY).is_ok()]
         self.assertEqual([_ISSUED], accepted)
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.text(max_size=120))
-    def test_no_text_breaks_the_parser(self, text: str) -> None:
+    def test_arbitrary_text_does_not_raise(self, text: str) -> None:
         self.assertIsInstance(parse_key(text, _FLEET_KEY), Err)
 
 
@@ -85,6 +85,6 @@
             "body": {"body": b"c"},
         }
     )
-    def test_another_request_or_caller_has_another_binding(self, change: dict[str, Any]) -> None:
+    def test_bindings_differ_by_request_and_client(self, change: dict[str, Any]) -> None:
         other = replace(_REQUEST, **change)
         self.assertNotEqual(request_binding(_REQUEST), request_binding(other))
