--- a/src/egretrail/store/__init__.py
+++ b/src/egretrail/store/__init__.py
@@ -1,4 +1,4 @@
-"""The settings store and the instance list that `egretraild` reads, behind abstract bases."""
+"""Abstract interfaces of the settings store and of the platform's instance list."""
 
 from egretrail.store._errors import (
     HistoryLost,
--- a/src/egretrail/store/_errors.py
+++ b/src/egretrail/store/_errors.py
@@ -1,15 +1,15 @@
-"""Failures of calls to the platform."""
+"""Failures of calls to the store and the instance list."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The store did not answer, and the call certainly had no effect or was a read."""
+    """The store did not respond, and the call was a read or certainly had no effect."""
 
-    #: What was attempted, for the log.
+    #: Description of the call, for the log.
     call: str
-    #: The transport's own account of the failure.
+    #: The transport's description of the failure.
     cause: str
 
     def __str__(self) -> str:
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteUnknown:
-    """A write was sent and its reply was lost: it may or may not have taken effect."""
+    """The response to a write was lost: the write may or may not have taken effect."""
 
     #: The path that was written.
     path: str
-    #: The transport's own account of the failure.
+    #: The transport's description of the failure.
     cause: str
 
     def __str__(self) -> str:
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RevisionConflict:
-    """A compare-and-swap lost: the path is at another revision than the writer expected."""
+    """A compare-and-swap failed: the path is not at the revision that the writer expected."""
 
     #: The path that was written.
     path: str
-    #: The revision the writer expected; 0 expects that the path does not exist.
+    #: The revision that the writer expected; 0: the path does not exist.
     expected_revision: int
-    #: The revision the store holds; 0 when the path does not exist.
+    #: The revision in the store; 0: the path does not exist.
     actual_revision: int
 
     def __str__(self) -> str:
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRefused:
-    """The store answered with a status that the call does not expect."""
+    """The store responded with a status that the call does not expect."""
 
-    #: What was attempted, for the log.
+    #: Description of the call, for the log.
     call: str
-    #: The HTTP status the store answered with.
+    #: The HTTP status of the response.
     status: int
 
     def __str__(self) -> str:
@@ -62,11 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """A watch asked for changes after a revision whose successors the store no longer holds."""
+    """The store no longer holds the changes after the revision that a watch starts from."""
 
     #: The prefix that was watched.
     prefix: str
-    #: The revision after which changes were asked for.
+    #: The revision after which changes were requested.
     after_revision: int
 
     def __str__(self) -> str:
--- a/src/egretrail/store/_instance_list.py
+++ b/src/egretrail/store/_instance_list.py
@@ -1,4 +1,4 @@
-"""The list of live and leaving instances, which lags."""
+"""The platform's list of live and leaving instances; it lags behind the real state."""
 
 import abc
 import enum
@@ -12,7 +12,7 @@
 
 
 class ListedState(enum.Enum):
-    """What the platform says of an instance."""
+    """State of an instance as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -22,7 +22,7 @@
 class Endpoint:
     """An address to connect to."""
 
-    #: An IP number.
+    #: An IP address.
     host: str
     #: A TCP port.
     port: int
@@ -33,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One row of the list: an upstream of a service, or an instance of the fleet itself."""
+    """One row of the list: an upstream of a service, or an instance of the fleet."""
 
     #: The instance's name, unique in the list.
     name: str
-    #: The service it belongs to; the fleet's own instances have ``egretrail``.
+    #: The service that it belongs to; ``egretrail`` for instances of the fleet.
     service: str
     #: The availability zone it runs in.
     availability_zone: AvailabilityZone
-    #: Where it takes requests.
+    #: Where it accepts requests.
     endpoint: Endpoint
-    #: Whether the platform says that it is live or leaving.
+    #: Whether the platform reports it as live or leaving.
     state: ListedState = ListedState.LIVE
-    #: For the fleet's own instances, where other instances connect to.
+    #: Where other instances connect; set only for instances of the fleet.
     peer_endpoint: Endpoint | None = field(default=None)
 
 
@@ -54,4 +54,4 @@
 
     @abc.abstractmethod
     async def read(self) -> Result[Sequence[ListedInstance], StoreUnavailable]:
-        """Return all listed instances, as the platform saw them some time ago."""
+        """Return all listed instances; their states may be out of date."""
--- a/src/egretrail/store/_store.py
+++ b/src/egretrail/store/_store.py
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One path of the store. A deleted path appears in watches with ``value`` None."""
+    """One path of the store. Watches report a deletion as an entry with ``value`` None."""
 
     #: The path, without a leading slash.
     path: str
-    #: The value; None once the path is deleted.
+    #: The value; None when the path is deleted.
     value: str | None
-    #: The store-wide revision of the write that left the path as it is.
+    #: The store-wide revision of the last write to the path.
     revision: int
 
 
@@ -25,30 +25,30 @@
 class Snapshot:
     """All paths under a prefix at one revision."""
 
-    #: The paths that exist, in order.
+    #: The existing paths, sorted.
     entries: Sequence[Entry]
-    #: The store-wide revision that the snapshot shows.
+    #: The store-wide revision of the snapshot.
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEvents:
-    """The changes under a prefix after a revision; none when the waiting time passed."""
+    """The changes under a prefix after a revision; empty when the watch timed out."""
 
     #: The changes in revision order.
     entries: Sequence[Entry]
-    #: Watch again after this revision.
+    #: The revision to continue watching from.
     revision: int
 
 
 class Store(abc.ABC):
-    """The platform's store. Every call is counted by the platform, a waiting watch as one."""
+    """The platform's store. The platform counts every call; a pending watch counts as one."""
 
-    #: Calls that were sent so far.
+    #: Number of calls sent so far.
     calls_total: int = 0
 
     def close(self) -> None:
-        """Keep no connections any more; calls under way end as they would."""
+        """Close idle connections and keep none alive; calls in flight are not cancelled."""
 
     @abc.abstractmethod
     async def get(self, path: str) -> Result[Entry | None, PlatformFailure]:
@@ -58,7 +58,7 @@
     async def put(
         self, path: str, value: str, expected_revision: int, lease_id: str | None = None
     ) -> Result[int, PlatformFailure]:
-        """Write a path if it is at ``expected_revision`` (0: absent); return its new revision."""
+        """Write a path if it is at ``expected_revision`` (0: absent); return the new revision."""
 
     @abc.abstractmethod
     async def delete(self, path: str, expected_revision: int) -> Result[int, PlatformFailure]:
@@ -68,7 +68,7 @@
     async def snapshot(
         self, prefix: str, *, stale: bool = False
     ) -> Result[Snapshot, PlatformFailure]:
-        """Read all paths under a prefix; a stale read is cheaper and may be seconds old."""
+        """Read all paths under a prefix; a stale read is cheaper and may be seconds out of date."""
 
     @abc.abstractmethod
     async def watch(
@@ -78,8 +78,8 @@
 
     @abc.abstractmethod
     async def grant_lease(self, ttl_s: float) -> Result[str, PlatformFailure]:
-        """Open a lease: paths written under it are deleted when it is not renewed in time."""
+        """Grant a lease: paths written with it are deleted if it is not renewed in ``ttl_s``."""
 
     @abc.abstractmethod
     async def renew_lease(self, lease_id: str) -> Result[None, PlatformFailure]:
-        """Renew a lease for its full time."""
+        """Renew a lease for its full TTL."""
--- a/src/egretrail/store/http/__init__.py
+++ b/src/egretrail/store/http/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the settings store and of the instance list, in their published HTTP/JSON form."""
+"""HTTP/JSON clients of the settings store and of the instance list."""
 
 from egretrail.store.http._instance_list import HttpInstanceList
 from egretrail.store.http._store import HttpStore
--- a/src/egretrail/store/http/_instance_list.py
+++ b/src/egretrail/store/http/_instance_list.py
@@ -12,7 +12,7 @@
 
 
 class HttpInstanceList(InstanceList):
-    """The list's published HTTP/JSON form, see ``docs/platform.md``."""
+    """Client of the instance list's HTTP/JSON API, see ``docs/platform.md``."""
 
     def __init__(self, url: str, session: aiohttp.ClientSession, timeout_s: float) -> None:
         self._url = url
@@ -20,7 +20,7 @@
         self._timeout_s = timeout_s
 
     async def read(self) -> Result[Sequence[ListedInstance], StoreUnavailable]:
-        """Return all listed instances, as the platform saw them some time ago."""
+        """Return all listed instances; their states may be out of date."""
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         try:
             async with self._session.get(self._url, timeout=timeout) as response:
--- a/src/egretrail/store/http/_store.py
+++ b/src/egretrail/store/http/_store.py
@@ -20,7 +20,7 @@
 
 T = TypeVar("T")
 
-#: Beyond its own waiting time a watch is given this long to answer.
+#: Added to the wait time of a watch to give the timeout of the HTTP request.
 _WATCH_MARGIN_S = 5.0
 
 
@@ -30,7 +30,7 @@
 
 
 class HttpStore(Store):
-    """The store's published HTTP/JSON form, see ``docs/platform.md``."""
+    """Client of the store's HTTP/JSON API, see ``docs/platform.md``."""
 
     def __init__(self, base_url: str, session: aiohttp.ClientSession, timeout_s: float) -> None:
         self._base_url = base_url.rstrip("/")
@@ -39,18 +39,18 @@
 
     async def get(self, path: str) -> Result[Entry | None, PlatformFailure]:
         """Read one path; None when it does not exist."""
-        answer = await self._read(f"get {path}", f"/v1/kv/{path}", {}, self._timeout_s)
-        if isinstance(answer, Err):
-            return answer
-        status, body = answer.ok_value
+        result = await self._read(f"get {path}", f"/v1/kv/{path}", {}, self._timeout_s)
+        if isinstance(result, Err):
+            return result
+        status, body = result.ok_value
         if status == 404:
             return Ok(None)
-        return _parsed(_ENTRY, f"get {path}", status, body)
+        return _parse_response(_ENTRY, f"get {path}", status, body)
 
     async def put(
         self, path: str, value: str, expected_revision: int, lease_id: str | None = None
     ) -> Result[int, PlatformFailure]:
-        """Write a path if it is at ``expected_revision`` (0: absent); return its new revision."""
+        """Write a path if it is at ``expected_revision`` (0: absent); return the new revision."""
         query = {"revision": str(expected_revision)}
         if lease_id is not None:
             query["lease"] = lease_id
@@ -64,12 +64,12 @@
     async def snapshot(
         self, prefix: str, *, stale: bool = False
     ) -> Result[Snapshot, PlatformFailure]:
-        """Read all paths under a prefix."""
+        """Read all paths under a prefix; ``stale`` has no effect here."""
         call = f"snapshot {prefix}"
-        answer = await self._read(call, "/v1/list", {"prefix": prefix}, self._timeout_s)
-        if isinstance(answer, Err):
-            return answer
-        return _parsed(_SNAPSHOT, call, *answer.ok_value)
+        result = await self._read(call, "/v1/list", {"prefix": prefix}, self._timeout_s)
+        if isinstance(result, Err):
+            return result
+        return _parse_response(_SNAPSHOT, call, *result.ok_value)
 
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
@@ -77,25 +77,25 @@
         """Wait for changes under a prefix after a revision, for at most ``wait_s``."""
         query = {"prefix": prefix, "after": str(after_revision), "wait_s": str(wait_s)}
         call = f"watch {prefix}"
-        answer = await self._read(call, "/v1/watch", query, wait_s + _WATCH_MARGIN_S)
-        if isinstance(answer, Err):
-            return answer
-        return _parsed(_EVENTS, call, *answer.ok_value)
+        result = await self._read(call, "/v1/watch", query, wait_s + _WATCH_MARGIN_S)
+        if isinstance(result, Err):
+            return result
+        return _parse_response(_EVENTS, call, *result.ok_value)
 
     async def grant_lease(self, ttl_s: float) -> Result[str, PlatformFailure]:
-        """Open a lease: paths written under it are deleted when it is not renewed in time."""
-        answer = await self._send("POST", "lease", "/v1/lease", {"ttl_s": str(ttl_s)}, None)
-        if isinstance(answer, Err):
-            return answer
-        status, body = answer.ok_value
+        """Grant a lease: paths written with it are deleted if it is not renewed in ``ttl_s``."""
+        result = await self._send("POST", "lease", "/v1/lease", {"ttl_s": str(ttl_s)}, None)
+        if isinstance(result, Err):
+            return result
+        status, body = result.ok_value
         return Ok(str(body["lease"])) if status == 200 else Err(StoreRefused("lease", status))
 
     async def renew_lease(self, lease_id: str) -> Result[None, PlatformFailure]:
-        """Renew a lease for its full time."""
-        answer = await self._send("POST", "renew", f"/v1/lease/{lease_id}/renew", {}, None)
-        if isinstance(answer, Err):
-            return answer
-        status, _ = answer.ok_value
+        """Renew a lease for its full TTL."""
+        result = await self._send("POST", "renew", f"/v1/lease/{lease_id}/renew", {}, None)
+        if isinstance(result, Err):
+            return result
+        status, _ = result.ok_value
         return Ok(None) if status == 200 else Err(StoreRefused("renew", status))
 
     async def _read(
@@ -128,10 +128,10 @@
         self, method: str, path: str, query: dict[str, str], body: str | None, expected: int
     ) -> Result[int, PlatformFailure]:
         call = f"{method.lower()} {path}"
-        answer = await self._send(method, call, f"/v1/kv/{path}", query, body)
-        if isinstance(answer, Err):
-            return answer
-        status, document = answer.ok_value
+        result = await self._send(method, call, f"/v1/kv/{path}", query, body)
+        if isinstance(result, Err):
+            return result
+        status, document = result.ok_value
         if status == 409:
             return Err(RevisionConflict(path, expected, int(document["revision"])))
         if status == 503:
@@ -141,7 +141,7 @@
         return Ok(int(document["revision"]))
 
 
-def _parsed(
+def _parse_response(
     adapter: TypeAdapter[T], call: str, status: int, body: object
 ) -> Result[T, PlatformFailure]:
     if status == 503:
