--- a/src/egretrail/report/__init__.py
+++ b/src/egretrail/report/__init__.py
@@ -1,4 +1,4 @@
-"""Service-level objectives: what was answered well, what was not and why, and how fast it burns."""
+"""Service-level objectives: counts of good and bad responses, error budgets and burn rates."""
 
 from egretrail.report._burn import (
     WINDOWS_S,
--- a/src/egretrail/report/_burn.py
+++ b/src/egretrail/report/_burn.py
@@ -1,7 +1,7 @@
-"""Error budgets and how fast they burn, over several windows at once.
+"""Error budgets and their burn rates over several windows.
 
-A burn rate of 1 uses the budget up exactly by the end of the objective's period. An alert on a
-short and a long window together is prompt and does not fire for a burst that is already over.
+A burn rate of 1 consumes the budget exactly by the end of the objective's period. An alert that
+requires a high rate in a short and a long window fires early, but not for a burst that is over.
 """
 
 from collections.abc import Mapping
@@ -9,37 +9,37 @@
 
 from egretrail.identity import RouteName, ServiceName
 
-#: Five minutes and an hour show what burns now, six hours what has been burning.
+#: Five minutes and an hour show the current burn rate, six hours the longer trend.
 WINDOWS_S = (300.0, 3600.0, 21600.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """What a service promises."""
+    """The service-level objective of a service."""
 
-    #: Share of requests to be answered well.
+    #: Share of requests that must get a good response.
     share: float
-    #: A good answer takes no longer than this.
+    #: Longest latency of a good response.
     latency_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class BurnRate:
-    """One window's use of the error budget."""
+    """Consumption of the error budget within one window."""
 
-    #: The window, back from now.
+    #: Length of the window, which ends now.
     window_s: float
     #: Requests in the window.
     requests: int
-    #: Requests not answered well, by what burnt them.
+    #: Requests without a good response, by kind of answer.
     burnt: Mapping[str, int]
-    #: Share of bad requests over the share that the objective allows.
+    #: Share of bad requests, divided by the share that the objective allows.
     rate: float
 
 
 @dataclass(frozen=True, slots=True)
 class RouteBurn:
-    """One route's burn over every window."""
+    """The burn rates of one route over every window."""
 
     #: The qualified service and route.
     service: ServiceName
@@ -49,7 +49,7 @@
 
 
 def burn_rate(counts: Mapping[str, int], objective: Objective, window_s: float) -> BurnRate:
-    """Return a window's burn from its counts by kind of answer; ``good`` is the only good kind."""
+    """Return the burn rate of a window from its counts by kind of answer; only ``good`` is good."""
     requests = sum(counts.values())
     burnt = {kind: count for kind, count in counts.items() if kind != "good" and count}
     bad_share = sum(burnt.values()) / requests if requests else 0.0
@@ -57,5 +57,5 @@
 
 
 def budget_left(burn: BurnRate) -> float:
-    """Return the share of the window's error budget that is left; below 0 when overdrawn."""
+    """Return the remaining share of the window's error budget; negative when exceeded."""
     return 1.0 - burn.rate
--- a/src/egretrail/report/_messages.py
+++ b/src/egretrail/report/_messages.py
@@ -1,4 +1,4 @@
-"""How instances tell each other what they counted."""
+"""Messages by which instances exchange their request and ejection counts."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteCounts:
-    """One route's requests within one window."""
+    """Request counts of one route within one window."""
 
     #: The qualified service.
     service: ServiceName
     #: The qualified route.
     route: RouteName
-    #: The window, back from now.
+    #: Length of the window, which ends now.
     window_s: float
     #: Requests by kind of answer.
     counts: tuple[tuple[str, int], ...]
@@ -30,32 +30,32 @@
     upstream: UpstreamName
     #: Why it was ejected.
     cause: str
-    #: How long ago it began.
+    #: How long ago the ejection began.
     ago_s: float
-    #: How long it lasted, or has lasted.
+    #: Duration of the ejection, up to now if it is not over.
     duration_s: float
-    #: How long the upstream had failed before it was ejected.
+    #: How long the upstream had been failing before it was ejected.
     detected_after_s: float
-    #: Whether the upstream gets work again.
+    #: Whether the upstream gets requests again.
     over: bool
 
 
 @message("report-ask")
 @dataclass(frozen=True, slots=True)
 class ReportAsk(Message):
-    """Asks an instance for what it counted."""
+    """Asks an instance for its report."""
 
 
 @message("report")
 @dataclass(frozen=True, slots=True)
 class InstanceReport(Message):
-    """What one instance counted."""
+    """The counts and ejections of one instance."""
 
     #: The instance.
     instance: InstanceName
-    #: Highest store revision whose settings are in force there.
+    #: Highest store revision whose settings are in force on the instance.
     settings_revision: int
     #: Counts by route and window.
     routes: tuple[RouteCounts, ...]
-    #: The newest ejections, running ones last.
+    #: The most recent ejections, those that are not over last.
     ejections: tuple[EjectionReport, ...]
--- a/src/egretrail/report/_recorder.py
+++ b/src/egretrail/report/_recorder.py
@@ -1,4 +1,4 @@
-"""Counts what callers were told, by route and minute, for as long as the longest window."""
+"""Counts of responses by route and minute, kept for the length of the longest window."""
 
 import enum
 from collections import deque
@@ -9,40 +9,39 @@
 from egretrail.report._burn import WINDOWS_S
 from egretrail.report._messages import EjectionReport, InstanceReport, RouteCounts
 
-#: Counts are kept by the minute: the shortest window is five of them.
+#: Counts are kept for each minute; the shortest window covers five.
 _BUCKET_S = 60.0
-_BUCKETS = int(max(WINDOWS_S) / _BUCKET_S)
-#: Ejections kept for the report. A flapping service of 31 upstreams fills it in minutes; the newest
-#: are the ones asked for.
-_EJECTIONS_KEPT = 200
+_BUCKET_COUNT = int(max(WINDOWS_S) / _BUCKET_S)
+#: Ended ejections kept for the report. A flapping service of 31 upstreams fills this in minutes;
+#: the newest are kept because operators look for those.
+_MAX_ENDED_EJECTIONS = 200
 
 
 class AnswerKind(enum.Enum):
-    """What one request burnt of its service's error budget."""
+    """How one request counts against the error budget of its service."""
 
-    #: Answered within the objective's latency.
+    #: Successful response within the objective's latency.
     GOOD = "good"
-    #: Answered well, but later than the objective.
+    #: Successful response after the objective's latency.
     LATE = "late"
-    #: The upstream's answer was a failure.
+    #: The upstream returned a failure.
     FAILED = "failed"
-    #: Refused without having been run.
+    #: Refused; the request was not run.
     REFUSED = "refused"
-    #: Told as unknown, or as run without its answer.
+    #: The outcome is unknown, or the request ran and its response is not available.
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class _Ejection:
-    #: What was ejected, why, and how long it had failed before.
     service: ServiceName
     upstream: UpstreamName
     cause: str
     detected_after_s: float
-    #: On the instance's clock.
+    #: Start of the ejection on the instance's clock.
     started_s: float
 
-    def report(self, now_s: float, ended_s: float | None) -> EjectionReport:
+    def to_report(self, now_s: float, ended_s: float | None) -> EjectionReport:
         return EjectionReport(
             service=self.service,
             upstream=self.upstream,
@@ -56,23 +55,23 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    #: Number of the minute on the instance's clock.
+    #: Index of the minute on the instance's clock.
     number: int
-    #: Requests by kind.
+    #: Requests by kind of answer.
     counts: dict[AnswerKind, int] = field(default_factory=dict)
 
 
 class BurnRecorder:
-    """What one instance's callers were told."""
+    """Records the responses and ejections of one instance."""
 
     def __init__(self) -> None:
         self._buckets: dict[tuple[ServiceName, RouteName], deque[_Bucket]] = {}
-        self._ended: deque[tuple[_Ejection, float]] = deque(maxlen=_EJECTIONS_KEPT)
-        self._running: dict[tuple[ServiceName, UpstreamName], _Ejection] = {}
+        self._ended: deque[tuple[_Ejection, float]] = deque(maxlen=_MAX_ENDED_EJECTIONS)
+        self._ongoing: dict[tuple[ServiceName, UpstreamName], _Ejection] = {}
 
     def count(self, service: ServiceName, route: RouteName, kind: AnswerKind, now_s: float) -> None:
-        """Count one request that has been answered."""
-        buckets = self._buckets.setdefault((service, route), deque(maxlen=_BUCKETS))
+        """Count one finished request."""
+        buckets = self._buckets.setdefault((service, route), deque(maxlen=_BUCKET_COUNT))
         number = int(now_s / _BUCKET_S)
         if not buckets or buckets[-1].number != number:
             buckets.append(_Bucket(number))
@@ -87,22 +86,25 @@
         detected_after_s: float,
         now_s: float,
     ) -> None:
-        """Note an ejection that begins, and how long the upstream had been failing before it."""
+        """Record the start of an ejection.
+
+        ``detected_after_s`` is how long the upstream had been failing before.
+        """
         ejection = _Ejection(service, upstream, cause, detected_after_s, now_s)
-        self._running.setdefault((service, upstream), ejection)
+        self._ongoing.setdefault((service, upstream), ejection)
 
     def returned(self, service: ServiceName, upstream: UpstreamName, now_s: float) -> None:
-        """Note that an ejected upstream gets work again."""
-        ejection = self._running.pop((service, upstream), None)
+        """Record that an ejected upstream gets requests again."""
+        ejection = self._ongoing.pop((service, upstream), None)
         if ejection is not None:
             self._ended.append((ejection, now_s))
 
     def report(
         self, instance: InstanceName, settings_revision: int, now_s: float
     ) -> InstanceReport:
-        """Return everything that is kept, in the form that instances exchange."""
-        ended = [ejection.report(now_s, ended_s) for ejection, ended_s in self._ended]
-        running = [ejection.report(now_s, None) for _, ejection in sorted(self._running.items())]
+        """Return all recorded counts and ejections as a message."""
+        ended = [ejection.to_report(now_s, ended_s) for ejection, ended_s in self._ended]
+        ongoing = [ejection.to_report(now_s, None) for _, ejection in sorted(self._ongoing.items())]
         return InstanceReport(
             instance=instance,
             settings_revision=settings_revision,
@@ -111,7 +113,7 @@
                 for (service, route), buckets in sorted(self._buckets.items())
                 for window_s in WINDOWS_S
             ),
-            ejections=(*ended, *running),
+            ejections=(*ended, *ongoing),
         )
 
     def _counts(
--- a/src/egretrail/report/_summary.py
+++ b/src/egretrail/report/_summary.py
@@ -1,4 +1,4 @@
-"""Puts the instances' counts together into one report on the fleet."""
+"""Aggregates the reports of the instances into one report on the fleet."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -10,29 +10,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSummary:
-    """One service over the whole fleet."""
+    """Burn rates and ejections of one service in the whole fleet."""
 
     #: The qualified service.
     service: ServiceName
-    #: What it promises.
+    #: Its service-level objective.
     objective: Objective
-    #: Its burn over each of ``WINDOWS_S``, all routes together.
+    #: Its burn rate over each of ``WINDOWS_S``, for all routes together.
     windows: tuple[BurnRate, ...]
-    #: Its routes.
+    #: The burn rates of its routes.
     routes: tuple[RouteBurn, ...]
-    #: Its newest ejections with the instance that made each, newest first.
+    #: Its recent ejections, each with the instance that decided it, newest first.
     ejections: tuple[tuple[InstanceName, EjectionReport], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetReport:
-    """What the instances that answered have counted."""
+    """Aggregated counts of the instances that replied."""
 
     #: Every service with traffic or ejections.
     services: tuple[ServiceSummary, ...]
-    #: Settings revision by instance that answered.
+    #: Settings revision of each instance that replied.
     settings_revisions: Mapping[InstanceName, int]
-    #: Instances that were asked and did not answer: their counts are missing above.
+    #: Instances that did not reply; their counts are not included.
     silent: tuple[InstanceName, ...]
 
 
@@ -41,8 +41,8 @@
     silent: Sequence[InstanceName],
     objectives: Mapping[ServiceName, Objective],
 ) -> FleetReport:
-    """Return the report on the fleet. A service without settings has the default objective."""
-    counts = _add_up(reports)
+    """Return the fleet report. A service without settings has the default objective."""
+    counts = _aggregate_counts(reports)
     ejections: dict[ServiceName, list[tuple[InstanceName, EjectionReport]]] = {}
     for report in reports:
         for ejection in report.ejections:
@@ -50,7 +50,9 @@
     names = sorted({service for service, _, _ in counts} | set(ejections))
     return FleetReport(
         services=tuple(
-            _service(name, counts, ejections.get(name, []), objectives.get(name, _DEFAULT))
+            _summarise_service(
+                name, counts, ejections.get(name, []), objectives.get(name, _DEFAULT_OBJECTIVE)
+            )
             for name in names
         ),
         settings_revisions={report.instance: report.settings_revision for report in reports},
@@ -58,23 +60,23 @@
     )
 
 
-_DEFAULT = Objective(0.999, 1.0)
-_Counts = dict[tuple[ServiceName, RouteName, float], dict[str, int]]
+_DEFAULT_OBJECTIVE = Objective(0.999, 1.0)
+_CountsByWindow = dict[tuple[ServiceName, RouteName, float], dict[str, int]]
 
 
-def _add_up(reports: Sequence[InstanceReport]) -> _Counts:
-    totals: _Counts = {}
+def _aggregate_counts(reports: Sequence[InstanceReport]) -> _CountsByWindow:
+    totals: _CountsByWindow = {}
     for report in reports:
         for route in report.routes:
-            held = totals.setdefault((route.service, route.route, route.window_s), {})
+            total = totals.setdefault((route.service, route.route, route.window_s), {})
             for kind, count in route.counts:
-                held[kind] = held.get(kind, 0) + count
+                total[kind] = total.get(kind, 0) + count
     return totals
 
 
-def _service(
+def _summarise_service(
     name: ServiceName,
-    counts: _Counts,
+    counts: _CountsByWindow,
     ejections: Sequence[tuple[InstanceName, EjectionReport]],
     objective: Objective,
 ) -> ServiceSummary:
@@ -90,12 +92,12 @@
         )
         for route in routes
     )
-    whole = []
+    windows = []
     for window_s in WINDOWS_S:
         total: dict[str, int] = {}
         for route in routes:
             for kind, count in counts.get((name, route, window_s), {}).items():
                 total[kind] = total.get(kind, 0) + count
-        whole.append(burn_rate(total, objective, window_s))
+        windows.append(burn_rate(total, objective, window_s))
     newest = sorted(ejections, key=lambda pair: pair[1].ago_s)
-    return ServiceSummary(name, objective, tuple(whole), burns, tuple(newest))
+    return ServiceSummary(name, objective, tuple(windows), burns, tuple(newest))
--- a/src/egretrail/report/tests/test_report.py
+++ b/src/egretrail/report/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The burn report's arithmetic."""
+"""Burn rates, the recorder's windows, and the aggregation of reports."""
 
 import dataclasses
 
@@ -29,7 +29,7 @@
 
 
 class BurnRecorderTest(EgretrailTestCase):
-    def test_windows_forget_what_is_older(self) -> None:
+    def test_windows_exclude_older_counts(self) -> None:
         recorder = BurnRecorder()
         recorder.count(_SERVICE, _ROUTE, AnswerKind.FAILED, 0.0)
         recorder.count(_SERVICE, _ROUTE, AnswerKind.GOOD, 3000.0)
@@ -38,20 +38,20 @@
         self.assertEqual({"good": 1}, found[300.0])
         self.assertEqual({"good": 1, "failed": 1}, found[3600.0])
 
-    def test_an_ejection_is_told_while_it_lasts_and_after(self) -> None:
+    def test_an_ejection_is_reported_while_it_lasts_and_afterwards(self) -> None:
         recorder = BurnRecorder()
         upstream = UpstreamName("shop-1")
         recorder.ejected(_SERVICE, upstream, "failures", 0.4, 10.0)
-        running = recorder.report(InstanceName("one"), 0, 15.0).ejections
+        ongoing = recorder.report(InstanceName("one"), 0, 15.0).ejections
         recorder.returned(_SERVICE, upstream, 20.0)
         ended = recorder.report(InstanceName("one"), 0, 60.0).ejections
-        self.assertEqual([(False, 5.0)], [(e.over, e.duration_s) for e in running])
+        self.assertEqual([(False, 5.0)], [(e.over, e.duration_s) for e in ongoing])
         self.assertEqual([(True, 10.0)], [(e.over, e.duration_s) for e in ended])
         self.assertEqual([50.0], [e.ago_s for e in ended])
 
 
 class SummaryTest(EgretrailTestCase):
-    def test_instances_add_up_and_silent_ones_are_named(self) -> None:
+    def test_reports_are_summed_and_silent_instances_listed(self) -> None:
         one = BurnRecorder()
         one.count(_SERVICE, _ROUTE, AnswerKind.GOOD, 1.0)
         first = one.report(InstanceName("one"), 3, 2.0)
