--- a/src/egretrail/settings/__init__.py
+++ b/src/egretrail/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: what an instance is told at its start, and what operators keep in the store."""
+"""Settings: the file that an instance reads at its start, and the fleet's settings in the store."""
 
 from egretrail.settings._acceptance import (
     Accepted,
--- a/src/egretrail/settings/__main__.py
+++ b/src/egretrail/settings/__main__.py
@@ -1,4 +1,4 @@
-"""Prints ``docs/settings.md``."""
+"""Prints the content of ``docs/settings.md``."""
 
 from egretrail.settings import settings_reference
 
--- a/src/egretrail/settings/_acceptance.py
+++ b/src/egretrail/settings/_acceptance.py
@@ -1,4 +1,4 @@
-"""What becomes of an operator's change: accepted, or refused for a typed reason."""
+"""Results of an operator's change: accepted, or refused with a typed reason."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,25 +10,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change that the store holds; it never reverts."""
+    """The store has the change; the change is never reverted."""
 
     #: The path.
     path: str
     #: Its generation.
     revision: int
-    #: The id that the writer gave it.
+    #: The id that the writer gave the change.
     change_id: str
-    #: Contradictions with a change that another operator made at the same moment.
+    #: Contradictions with a concurrent change by another operator.
     conflicts: Sequence[SettingsFault] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StoreOut:
-    """The store cannot be reached: nothing was changed, serving goes on."""
+    """The store is unreachable: nothing was changed, requests are still served."""
 
     #: The path.
     path: str
-    #: The store's client's own account.
+    #: The store client's description of the failure.
     cause: str
 
     def __str__(self) -> str:
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteUnresolved:
-    """The write's reply was lost and the store cannot be read back.
+    """The response to the write was lost, and the store could not be read afterwards.
 
-    Sending the same change id again resolves it: it is accepted at most once.
+    A retry with the same change id resolves this: a change id is accepted at most once.
     """
 
     #: The path.
     path: str
     #: The id that the writer gave the change.
     change_id: str
-    #: The store's client's own account.
+    #: The store client's description of the failure.
     cause: str
 
     def __str__(self) -> str:
@@ -58,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LostRace:
-    """Another operator's change came first."""
+    """Another operator changed the path first."""
 
     #: The path.
     path: str
-    #: The revision that the writer had seen; 0: absent.
+    #: The revision that the writer expected; 0: absent.
     expected_revision: int
-    #: The revision that the store holds; 0: absent.
+    #: The revision in the store; 0: absent.
     actual_revision: int
     #: The change that was refused.
     yours: Revised
-    #: The change that stands.
+    #: The change that is in the store.
     theirs: Revised
 
     def __str__(self) -> str:
--- a/src/egretrail/settings/_catalogue.py
+++ b/src/egretrail/settings/_catalogue.py
@@ -1,14 +1,14 @@
-"""What an instance knows of the operators' settings, and the rule by which it only moves forward.
+"""One instance's replica of the operators' settings, in which no path returns to an older value.
 
-Each path carries the store-wide revision of its last write as its generation. Two rules keep old
-values from coming back, whatever order messages arrive in and however late:
+The generation of a path is the store-wide revision of its last write. Two rules prevent old values
+from coming back, whatever the order and delay of messages:
 
-- a change is applied only when its generation is above the one that is held for the path;
-- a path that is not held takes no change at or below ``complete_revision``, the revision up to
-  which this instance has seen every change: the path had been deleted by then, or never was.
+- a change is applied only if its generation is higher than the one held for the path;
+- for a path that is not held, a change at or below ``complete_revision`` is ignored. This instance
+  has seen every change up to that revision, so the path was deleted by then or never existed.
 
-The second rule also bounds memory: a deletion need not be remembered once everything up to it has
-been seen.
+The second rule also bounds memory: a deletion can be discarded once every change up to its
+generation has been seen.
 """
 
 import enum
@@ -21,35 +21,35 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a change."""
+    """Result of applying a change."""
 
-    #: It is held now.
+    #: The change was applied.
     APPLIED = "applied"
-    #: It was held already.
+    #: The change had already been applied.
     KNOWN = "known"
-    #: Something newer is held.
+    #: A newer change is held.
     OLDER = "older"
 
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """What became of a run of changes."""
+    """Result of applying a run of changes."""
 
     #: The changes that were applied.
     applied: Sequence[SettingChange]
-    #: Whether changes before the run are missing: compare with the sender.
+    #: Whether changes before the run are missing; then the caller compares with the sender.
     gap: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StoreBehind:
-    """The store shows an older state than the fleet holds; it was restored, or a replica lags."""
+    """The store is at an older state than the fleet: it was restored, or a replica lags."""
 
-    #: The revision that the store shows.
+    #: The revision of the store.
     store_revision: int
-    #: The revision that this instance had seen.
+    #: The highest revision that this instance had seen.
     held_revision: int
-    #: Paths that the store shows older than the fleet holds them.
+    #: Paths whose value in the store is older than the one the fleet holds.
     paths: Sequence[str]
 
     def __str__(self) -> str:
@@ -61,45 +61,45 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotOutcome:
-    """What became of a snapshot of the store."""
+    """Result of applying a snapshot of the store."""
 
     #: The changes that were applied.
     applied: Sequence[SettingChange]
-    #: Set when the store shows an older state: then nothing was taken as deleted.
+    #: Set when the store is at an older state; then no absent path was deleted.
     behind: StoreBehind | None
 
 
 @dataclass(frozen=True, slots=True)
 class HeldMark:
-    """Which change of a live path an instance holds, without its text."""
+    """Identifies the change that an instance holds for a live path, without the text."""
 
     #: The path.
     path: str
-    #: The generation that is held.
+    #: The generation of the change.
     generation: int
-    #: The id of the change that is held.
+    #: The id of the change.
     change_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """What two instances lack of each other in some buckets."""
+    """The changes that two instances have to exchange for some buckets."""
 
-    #: Changes that the other instance lacks.
+    #: Changes that the other instance is missing.
     changes: Sequence[SettingChange]
-    #: Paths of which the other instance has the newer change.
+    #: Paths for which the other instance has a newer change.
     wanted: Sequence[str]
 
 
 class Catalogue:
-    """Every path that an instance holds, with its generation."""
+    """The latest known change of every path."""
 
     def __init__(self) -> None:
         self._held: dict[str, SettingChange] = {}
         self._deleted: dict[str, SettingChange] = {}
         self._buckets: list[set[str]] = [set() for _ in range(BUCKETS)]
         self._tree = DigestTree()
-        #: The held values as settings.
+        #: The settings parsed from the held texts.
         self.in_force = InForce()
         self._complete_revision = 0
         self._highest_generation = 0
@@ -117,14 +117,15 @@
 
     @property
     def lost_upto_revision(self) -> int:
-        """Return the revision up to which the store may have lost writes; 0: none were missed."""
+        """Return the revision up to which the store may have lost writes; 0: none known."""
         return self._lost_upto_revision
 
     def distrust_upto(self, revision: int) -> None:
-        """Take what the store does not show as deleted only if it is above a revision.
+        """Record that the store may have lost writes up to a revision.
 
-        Load: a store restored from an old copy, while operators mend it path by path. Harm
-        prevented: paths that the copy lacks vanishing once the mended ones look right.
+        A held path at or below this revision is not deleted when a snapshot lacks it. After a store
+        has been restored from an old backup, operators repair it path by path. Paths missing from
+        the backup must not be deleted as soon as the repaired paths are up to date.
         """
         self._lost_upto_revision = max(revision, self._lost_upto_revision)
 
@@ -137,21 +138,24 @@
         return len(self._held)
 
     def held(self, path: str) -> SettingChange | None:
-        """Return the change that is held for a path; a remembered deletion has no text."""
+        """Return the latest change held for a path; None when none is held.
+
+        A deletion that has not been discarded yet is a change without text.
+        """
         return self._held.get(path) or self._deleted.get(path)
 
     def live(self) -> Iterable[SettingChange]:
-        """Return the change of every path that is not deleted."""
+        """Return the latest change of every path that is not deleted."""
         return self._held.values()
 
     def has_in_force(self, path: str, generation: int) -> bool:
         """Return whether a change, or a later one of its path, is in force here."""
         held = self.held(path)
-        newer = held is not None and held.generation >= generation
-        return newer or self._complete_revision >= generation
+        is_applied = held is not None and held.generation >= generation
+        return is_applied or self._complete_revision >= generation
 
     def apply(self, change: SettingChange) -> Outcome:
-        """Apply one change if it is newer than what is held."""
+        """Apply a change if it is newer than the change held for its path."""
         held = self.held(change.path)
         if held is None and change.generation <= self._complete_revision:
             return Outcome.KNOWN if change.text is None else Outcome.OLDER
@@ -161,7 +165,7 @@
         return Outcome.APPLIED
 
     def apply_run(self, run: ChangeRun) -> RunOutcome:
-        """Apply a run of changes; it completes what is known when it follows without a gap."""
+        """Apply a run of changes; advances ``complete_revision`` if there is no gap before it."""
         applied = [change for change in run.changes if self.apply(change) is Outcome.APPLIED]
         if run.after_revision <= self._complete_revision:
             self.complete_upto(run.upto_revision)
@@ -171,11 +175,12 @@
     def apply_snapshot(
         self, changes: Sequence[SettingChange], revision: int, asked_at_revision: int
     ) -> SnapshotOutcome:
-        """Apply the store's whole content at a revision.
+        """Apply the complete content of the store at a revision.
 
-        ``asked_at_revision`` is the highest revision known when the store was asked: an answer
-        below it, or one that shows a path older than it was by then, comes from a store that has
-        lost writes. What such a store does not show is not taken as deleted.
+        ``asked_at_revision`` is the highest revision that was known when the snapshot was
+        requested. If the snapshot is at a lower revision, or has an older value for a path than
+        was known by then, the store has lost writes: paths that are absent from the snapshot are
+        then not deleted.
         """
         applied = []
         older = []
@@ -188,25 +193,28 @@
                 older.append(change.path)
         if older or revision < asked_at_revision:
             self.distrust_upto(asked_at_revision)
-        shown = {change.path for change in changes}
-        absent = [c for c in self._held.values() if c.path not in shown]
+        present = {change.path for change in changes}
+        absent = [c for c in self._held.values() if c.path not in present]
         older += [c.path for c in absent if c.generation <= self._lost_upto_revision]
         if older or revision < asked_at_revision:
             return SnapshotOutcome(applied, StoreBehind(revision, self.highest_revision, older))
         for held in absent:
             if held.generation <= revision:
-                gone = SettingChange(held.path, revision, "", None)
-                self.apply(gone)
-                applied.append(gone)
+                deletion = SettingChange(held.path, revision, "", None)
+                self.apply(deletion)
+                applied.append(deletion)
         self.complete_upto(revision)
         return SnapshotOutcome(applied, None)
 
     def current(self, path: str) -> SettingChange:
-        """Return what this instance knows of a path, to correct one who holds something older."""
+        """Return the latest known state of a path, as a deletion if the path is not held.
+
+        Sent to an instance that holds an older state.
+        """
         return self.held(path) or SettingChange(path, self._complete_revision, "", None)
 
     def complete_upto(self, revision: int) -> None:
-        """Note that every change up to a revision has been seen; forget deletions up to it."""
+        """Record that every change up to a revision has been seen; discard deletions up to it."""
         if revision <= self._complete_revision:
             return
         self._complete_revision = revision
@@ -215,18 +223,21 @@
                 del self._deleted[path]
 
     def marks(self, buckets: Iterable[int]) -> Sequence[HeldMark]:
-        """Return which changes are held in some buckets."""
+        """Return marks of the changes that are held in some buckets."""
         held = (self._held[path] for number in buckets for path in sorted(self._buckets[number]))
         return [HeldMark(change.path, change.generation, change.change_id) for change in held]
 
     def bucket_size(self, bucket: int) -> int:
-        """Return how many live paths a bucket has."""
+        """Return the number of live paths in a bucket."""
         return len(self._buckets[bucket])
 
     def difference(
         self, buckets: Iterable[int], marks: Sequence[HeldMark], limit_bytes: int
     ) -> Difference:
-        """Compare with another instance's marks; the changes stop at a size, with one at least."""
+        """Compare with another instance's marks.
+
+        The changes are cut off at ``limit_bytes``, but at least one is returned.
+        """
         theirs = {mark.path: mark for mark in marks}
         changes: list[SettingChange] = []
         size_bytes = 0
@@ -264,4 +275,4 @@
             self._held[change.path] = change
             self._tree.toggle(change)
             bucket.add(change.path)
-        self.in_force.take(change)
+        self.in_force.apply(change)
--- a/src/egretrail/settings/_change.py
+++ b/src/egretrail/settings/_change.py
@@ -1,4 +1,4 @@
-"""One path's state at one generation, and runs of such changes."""
+"""Changes of single paths, and runs of consecutive changes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,23 +6,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingChange:
-    """What a path holds from one generation on."""
+    """The state of a path as of one generation."""
 
     #: The path, ``TEAM/KIND/NAME``.
     path: str
-    #: The store-wide revision of the write; it only rises.
+    #: The store-wide revision of the write; higher for every later write.
     generation: int
-    #: The unique id that the writer gave the change; empty for writes around the tool.
+    #: The unique id that the writer gave the change; empty for direct writes to the store.
     change_id: str
-    #: The TOML text; None once the path is deleted.
+    #: The TOML text; None when the path is deleted.
     text: str | None
 
     @property
     def order(self) -> tuple[int, str]:
-        """Return what decides between two changes of one path.
+        """Return the sort key by which the newer of two changes of a path is found.
 
-        The id only decides after a store was restored and gave one revision out twice; every
-        instance then keeps the same one of the two.
+        The id matters only if a restored store has assigned one revision twice: every instance then
+        keeps the same one of the two changes.
         """
         return self.generation, self.change_id
 
@@ -31,13 +31,13 @@
 class ChangeRun:
     """All changes of any path after one revision and up to another.
 
-    Who was complete up to ``after_revision`` is complete up to ``upto_revision`` with these. A run
-    whose two revisions are equal says nothing about other changes.
+    An instance that has seen every change up to ``after_revision`` has, with this run, seen every
+    change up to ``upto_revision``. A run whose two revisions are equal makes no such statement.
     """
 
-    #: The revision after which nothing is missing.
+    #: The run has every change after this revision.
     after_revision: int
-    #: The revision up to which nothing is missing.
+    #: The run has every change up to this revision.
     upto_revision: int
-    #: The changes in between, in any order.
+    #: The changes, in any order.
     changes: Sequence[SettingChange]
--- a/src/egretrail/settings/_digest.py
+++ b/src/egretrail/settings/_digest.py
@@ -1,4 +1,4 @@
-"""A small tree of digests by which two instances find the paths where they differ."""
+"""A two-level hash tree by which two instances find the buckets of paths that differ."""
 
 import struct
 from collections.abc import Sequence
@@ -7,20 +7,22 @@
 
 from egretrail.settings._change import SettingChange
 
-#: A reply with all buckets stays near 2 KB; at 220,000 paths a bucket has about 900.
+#: A reply with the digests of all buckets takes about 2 KB. With 220,000 paths each bucket has
+#: about 900.
 BUCKETS = 256
 
 
 def bucket_of(path: str) -> int:
-    """Return the number of the bucket that a path belongs to."""
+    """Return the index of the bucket of a path."""
     return xxhash.xxh3_64_intdigest(path.encode()) % BUCKETS
 
 
 class DigestTree:
-    """Digests of the live paths in each bucket, kept up to date in constant time a change.
+    """Digests of the live paths in each bucket, updated in constant time for each change.
 
-    A bucket is the exclusive or of its entries' digests, so that the order of changes leaves no
-    trace. Deleted paths have no part in it: how long they are remembered differs by instance.
+    The digest of a bucket is the exclusive or of its entries' digests, and so does not depend on
+    the order of changes. Deleted paths are not included, because instances discard deletions at
+    different times.
     """
 
     def __init__(self) -> None:
@@ -28,7 +30,7 @@
         self._root: int | None = None
 
     def toggle(self, change: SettingChange) -> None:
-        """Add a live path's change, or take it out again."""
+        """Add the change of a live path, or remove it if it is included."""
         entry = f"{change.path}\x00{change.generation}\x00{change.change_id}\x00{change.text}"
         digest = xxhash.xxh3_64_intdigest(entry.encode())
         self._buckets[bucket_of(change.path)] ^= digest
@@ -43,10 +45,10 @@
 
     @property
     def buckets(self) -> Sequence[int]:
-        """Return each bucket's digest."""
+        """Return the digest of each bucket."""
         return tuple(self._buckets)
 
     def differing(self, other: Sequence[int]) -> Sequence[int]:
-        """Return the numbers of the buckets in which another tree differs."""
+        """Return the indexes of the buckets whose digests differ from another tree's."""
         pairs = zip(self._buckets, other, strict=True)
-        return [number for number, (own, theirs) in enumerate(pairs) if own != theirs]
+        return [index for index, (own, theirs) in enumerate(pairs) if own != theirs]
--- a/src/egretrail/settings/_envelope.py
+++ b/src/egretrail/settings/_envelope.py
@@ -1,4 +1,4 @@
-"""What the store holds for a path: the text with its change id, author, time and history."""
+"""The stored form of a path: its text with change id, author, time and history."""
 
 import re
 from collections.abc import Sequence
@@ -10,11 +10,11 @@
 
 #: The subtree of the store that holds the fleet's settings.
 STORE_PREFIX = "egretrail/settings/"
-#: Earlier values kept with each path.
+#: Number of earlier changes kept with each path.
 HISTORY_LENGTH = 8
-#: Longest text of one path; a service or a route takes a few hundred bytes.
+#: Largest text of one path. A service or a route takes a few hundred bytes.
 TEXT_LIMIT_BYTES = 32 * 1024
-#: The platform holds values up to a megabyte; older history goes first.
+#: Largest stored value; the platform accepts up to 1 MB. Above it the oldest history is dropped.
 ENVELOPE_LIMIT_BYTES = 900_000
 _CHANGE_ID = re.compile(r"^[A-Za-z0-9_.:-]{8,80}$")
 
@@ -23,15 +23,15 @@
 class Revised:
     """One accepted change of a path."""
 
-    #: The unique id that the writer gave it.
+    #: The unique id that the writer gave the change.
     change_id: str
-    #: Who made it: a team's name, or what the writer said.
+    #: The author: the name of a team, or the author that the writer stated.
     author: str
-    #: When it was made, in seconds since the epoch by the accepting instance's clock.
+    #: Time of the change on the accepting instance's clock, in seconds since the epoch.
     changed_at_s: float
     #: The TOML text; None when the path was deleted.
     text: str | None
-    #: The store's revision of the change; 0 while it is the path's latest.
+    #: The store revision of the change; 0 for the latest change of the path.
     revision: int = 0
 
 
@@ -45,17 +45,20 @@
     history: Sequence[Revised] = ()
 
     def with_change(self, change: Revised, own_revision: int) -> "Envelope":
-        """Return the envelope after one more change; this one is at ``own_revision``."""
+        """Return the envelope with one more change.
+
+        ``own_revision`` is the store revision of this envelope, before the change.
+        """
         earlier = (replace(self.latest, revision=own_revision), *self.history)
         return Envelope(change, earlier[:HISTORY_LENGTH])
 
     def find(self, change_id: str) -> Revised | None:
-        """Return the change with an id; None when it is not among those kept."""
+        """Return the change with the given id; None when it is not kept here."""
         found = (item for item in (self.latest, *self.history) if item.change_id == change_id)
         return next(found, None)
 
     def encode(self) -> str:
-        """Return the form in the store, with as much history as the limit allows."""
+        """Return the stored form, with as much history as the size limit allows."""
         envelope = self
         encoded = _ADAPTER.dump_json(envelope)
         while len(encoded) > ENVELOPE_LIMIT_BYTES and envelope.history:
@@ -68,10 +71,10 @@
 
 
 def decode_envelope(value: str) -> Envelope:
-    """Read what the store holds for a path.
+    """Decode the stored value of a path.
 
-    A value that is no envelope was written straight into the store, such as a first setting-up may
-    do: it is taken as the TOML text itself, without an id or an author.
+    A value that is not an envelope was written directly to the store, for instance during the
+    initial set-up. It is interpreted as the TOML text, without a change id or an author.
     """
     try:
         return _ADAPTER.validate_json(value)
@@ -80,7 +83,7 @@
 
 
 def change_of(store_path: str, value: str | None, revision: int) -> SettingChange:
-    """Return a path of the store as a change."""
+    """Return an entry of the store as a change."""
     path = store_path.removeprefix(STORE_PREFIX)
     if value is None:
         return SettingChange(path, revision, "", None)
@@ -89,5 +92,5 @@
 
 
 def is_change_id(text: str) -> bool:
-    """Return whether a text may serve as a change id."""
+    """Return whether a text is a valid change id."""
     return _CHANGE_ID.match(text) is not None
--- a/src/egretrail/settings/_errors.py
+++ b/src/egretrail/settings/_errors.py
@@ -1,4 +1,4 @@
-"""Faults in settings, all of them at once."""
+"""Validation errors of settings: all faults of a text are reported together."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsFault:
-    """One fault: where it stands and what is wrong."""
+    """One fault: its location and description."""
 
-    #: The dotted key, empty when the whole text is at fault.
+    #: The dotted key; empty when the fault concerns the whole text.
     key: str
     #: What is wrong and what is expected.
     reason: str
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """Settings that were refused; nothing of them was applied."""
+    """Settings that were refused; no part of them was applied."""
 
-    #: The file or path the text came from.
+    #: The file or path that the text was read from.
     source: str
     #: Every fault that was found.
     faults: Sequence[SettingsFault]
--- a/src/egretrail/settings/_fleet.py
+++ b/src/egretrail/settings/_fleet.py
@@ -22,16 +22,16 @@
 
 
 class Detection(enum.Enum):
-    """How eagerly a service's upstreams are ejected."""
+    """Sensitivity with which a service's failing upstreams are ejected."""
 
-    #: Short detection time: slow answers cost more than a wrong ejection.
+    #: Short detection time: slow responses cost more than a false ejection.
     PROMPT = "prompt"
-    #: Few false ejections: lost capacity costs more than waiting.
+    #: Few false ejections: lost capacity costs more than slow detection.
     PATIENT = "patient"
 
 
 class SettingKind(enum.Enum):
-    """What a path holds."""
+    """Kind of the object at a path."""
 
     SERVICE = "services"
     ROUTE = "routes"
@@ -43,31 +43,31 @@
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: Fewest healthy upstreams that ejections may leave.
+    #: Minimum number of healthy upstreams; ejections below it are not allowed.
     floor: Annotated[
         int, Field(ge=0, le=100_000, description="Fewest healthy upstreams ejections may leave.")
     ]
-    #: Requests that one upstream works on at once.
+    #: Concurrent requests of one upstream.
     slots: Annotated[
         int, Field(ge=1, le=10_000, description="Requests one upstream works on at once.")
     ] = 4
-    #: Connections that one upstream accepts.
+    #: Connections that one upstream accepts at once.
     connections: Annotated[
         int, Field(ge=1, le=100_000, description="Connections one upstream accepts.")
     ] = 400
-    #: How eagerly upstreams are ejected.
+    #: Sensitivity of ejections.
     detection: Annotated[
         Detection, Field(description="`prompt` ejects sooner, `patient` more surely.")
     ] = Detection.PATIENT
-    #: How many instances serve the service; 0 lets egretrail choose.
+    #: Number of instances that serve the service; 0: chosen automatically.
     group_size: Annotated[
         int, Field(ge=0, le=64, description="Instances that serve the service; 0: chosen.")
     ] = 0
-    #: Upstreams that one request may be lost with, over all its resends.
+    #: Number of upstreams that may be lost while serving one request, over all its retries.
     upstreams_per_request: Annotated[
         int, Field(ge=1, le=16, description="Upstreams one request may be lost with.")
     ] = 2
-    #: Retries as a share of first tries.
+    #: Retries as a share of first attempts.
     retry_budget: Annotated[
         float, Field(ge=0, le=1, description="Retries as a share of first tries.")
     ] = 0.1
@@ -79,15 +79,15 @@
             description="Answer header that repeats `X-Request-Id`; a mismatch is discarded.",
         ),
     ] = ""
-    #: How long a new upstream is given less work than its share.
+    #: Warm-up period in which a new upstream gets less than its share of requests.
     ramp_s: Annotated[
         float, Field(ge=0, le=3600, description="How long a new upstream gets less work.")
     ] = 10.0
-    #: Share of requests to be answered well.
+    #: Share of requests that must get a good response.
     objective: Annotated[
         float, Field(gt=0, lt=1, description="Share of requests to be answered well.")
     ] = 0.999
-    #: A good answer takes no longer than this.
+    #: Longest latency of a good response.
     objective_latency_s: Annotated[
         float, Field(gt=0, le=3600, description="A good answer takes no longer.")
     ] = 1.0
@@ -95,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSettings:
-    """One route: which requests go to a service, and how they are treated."""
+    """One route: matches requests to a service and sets how they are handled."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: The service that takes the requests, a name in the same team.
+    #: The service that the requests go to: a name within the same team.
     service: Annotated[
         ServiceName, Field(pattern=_NAME_PATTERN, description="A service of the same team.")
     ]
-    #: Path prefix of the requests, whole segments.
+    #: Path prefix of the requests, matched by whole segments.
     path_prefix: Annotated[
         str, Field(pattern=r"^/[^?#]*$", max_length=512, description="Prefix, whole segments.")
     ]
-    #: The Host of the requests; empty: any.
+    #: Host of the requests; empty: any.
     host: Annotated[str, Field(max_length=253, description="Host of the requests; empty: any.")] = (
         ""
     )
@@ -115,21 +115,21 @@
     idempotent_methods: Annotated[
         Sequence[_Method], Field(description="Methods whose requests are idempotent.")
     ] = ("GET", "HEAD", "OPTIONS")
-    #: How long a request may take when its caller gives no deadline.
+    #: Deadline of a request whose client states none.
     deadline_s: Annotated[
         float, Field(gt=0, le=3600, description="Deadline when the caller gives none.")
     ] = 10.0
-    #: How long a request may wait for an upstream.
+    #: Longest time that a request waits for an upstream.
     queue_s: Annotated[
         float, Field(ge=0, le=3600, description="How long a request may wait for an upstream.")
     ] = 2.0
-    #: Whether a second upstream may be tried while the first is slow.
+    #: Whether a slow request may be sent to a second upstream (hedged request).
     hedge: Annotated[
         bool, Field(description="Whether slow idempotent requests are sent a second time.")
     ] = False
 
     def __post_init__(self) -> None:
-        """Refuse values that contradict each other."""
+        """Reject contradictory values."""
         if self.queue_s > self.deadline_s:
             raise ValueError(f"queue_s ({self.queue_s}) exceeds deadline_s ({self.deadline_s})")
 
@@ -140,7 +140,7 @@
 
     #: The team whose subtree the path is in.
     team: TeamName
-    #: What the path holds.
+    #: Kind of the object at the path.
     kind: SettingKind
     #: The service's or route's name.
     name: str
@@ -150,12 +150,12 @@
 
     @property
     def qualified_name(self) -> str:
-        """Return ``TEAM/NAME``, by which the rest of the fleet knows the service or route."""
+        """Return ``TEAM/NAME``, the unique name of the service or route in the fleet."""
         return f"{self.team}/{self.name}"
 
     @staticmethod
     def parse(path: str) -> "Result[SettingPath, InvalidSettings]":
-        """Read ``TEAM/services/NAME`` or ``TEAM/routes/NAME``."""
+        """Parse ``TEAM/services/NAME`` or ``TEAM/routes/NAME``."""
         parts = path.split("/")
         kinds = {kind.value: kind for kind in SettingKind}
         if len(parts) == 3 and parts[1] in kinds and is_name(parts[0]) and is_name(parts[2]):
@@ -180,7 +180,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Return whether a text may name a team, a service or a route."""
+    """Return whether a text is a valid name of a team, a service or a route."""
     try:
         _NAME.validate_python(text)
     except ValidationError:
@@ -191,7 +191,7 @@
 def parse_setting(
     path: SettingPath, text: str
 ) -> Result[ServiceSettings | RouteSettings, InvalidSettings]:
-    """Read the TOML text of one path; the failure lists every fault."""
+    """Parse the TOML text of one path; a failure lists every fault."""
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
--- a/src/egretrail/settings/_in_force.py
+++ b/src/egretrail/settings/_in_force.py
@@ -1,4 +1,8 @@
-"""The held texts as settings, each read once; an unreadable one leaves the last readable."""
+"""The settings in force, parsed from the held texts.
+
+Each text is parsed once. When a new text is invalid, the last valid value of the path stays in
+force.
+"""
 
 from collections.abc import Mapping
 
@@ -27,21 +31,21 @@
         self._settings: FleetSettings | None = None
 
     def settings(self) -> FleetSettings:
-        """Return the settings in force; the same object until a change is applied."""
+        """Return the settings in force; the same object until the next change."""
         if self._settings is None:
             self._settings = FleetSettings(dict(self._services), dict(self._routes))
         return self._settings
 
     def route(self, name: RouteName) -> RouteSettings | None:
-        """Return one route without a copy of all."""
+        """Return one route without copying all; None when it does not exist."""
         return self._routes.get(name)
 
     def issues(self) -> Mapping[str, InvalidSettings]:
-        """Return the held values that cannot be read."""
+        """Return the errors of the held texts that are invalid, by path."""
         return dict(self._issues)
 
-    def take(self, change: SettingChange) -> None:
-        """Bring one change into force."""
+    def apply(self, change: SettingChange) -> None:
+        """Apply a change to the settings in force."""
         self._issues.pop(change.path, None)
         parsed = SettingPath.parse(change.path)
         if isinstance(parsed, Err):
@@ -49,17 +53,17 @@
             return
         self._settings = None
         if change.text is None:
-            self._drop(parsed.ok_value)
+            self._remove(parsed.ok_value)
         else:
-            self._read(parsed.ok_value, change.text)
+            self._parse(parsed.ok_value, change.text)
 
-    def _drop(self, path: SettingPath) -> None:
+    def _remove(self, path: SettingPath) -> None:
         if path.kind is SettingKind.SERVICE:
             self._services.pop(ServiceName(path.qualified_name), None)
         else:
             self._routes.pop(RouteName(path.qualified_name), None)
 
-    def _read(self, path: SettingPath, text: str) -> None:
+    def _parse(self, path: SettingPath, text: str) -> None:
         value = parse_setting(path, text)
         if isinstance(value, Err):
             self._issues[str(path)] = value.err_value
--- a/src/egretrail/settings/_instance.py
+++ b/src/egretrail/settings/_instance.py
@@ -1,4 +1,4 @@
-"""The settings of one instance, read from its TOML file at the start.
+"""The settings of one instance, read from its TOML file at start-up.
 
 Each class is a data class whose annotations carry the range of every value; ``TypeAdapter``
 validates the file against them. ``Field(description=...)`` is the text of ``docs/settings.md``.
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSection:
-    """Who this instance is."""
+    """Identity of this instance."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
@@ -36,7 +36,7 @@
         AvailabilityZone,
         Field(pattern=_NAME_PATTERN, description="The availability zone it runs in."),
     ]
-    #: The region the availability zone belongs to.
+    #: The region of the availability zone.
     region: Annotated[
         str, Field(pattern=_NAME_PATTERN, description="The region of the availability zone.")
     ] = "default"
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenSection:
-    """Where one face of the instance listens."""
+    """Listening address of one face: the callers', the peers' or the operators' interface."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: The address to listen on and to tell others.
+    #: The address to listen on and to advertise to others.
     host: _Host
     #: The port to listen on.
     port: _Port
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSection:
-    """Where the platform's store and instance list are."""
+    """Addresses of the platform's store and instance list."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
@@ -66,11 +66,11 @@
     instance_list_url: Annotated[
         str, Field(pattern=r"^https?://", description="URL of the instance list.")
     ]
-    #: How long one call may take.
+    #: Timeout of one call.
     timeout_s: Annotated[
         float, Field(gt=0, le=60, description="How long one call to the platform may take.")
     ] = 2.0
-    #: How often a reader reads the instance list.
+    #: Interval between reads of the instance list.
     list_interval_s: Annotated[
         float, Field(ge=0.1, le=300, description="How often the instance list is read.")
     ] = 2.0
@@ -78,15 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersSection:
-    """What callers are told and how they are recognised."""
+    """TTL of the responses that clients resolve instances with, and identification of clients."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: How long a caller keeps a resolve answer.
+    #: TTL of a resolve response at a client.
     resolve_ttl_s: Annotated[
         float, Field(ge=1, le=3600, description="How long a caller may keep a resolve answer.")
     ] = 10.0
-    #: The header whose digest identifies the caller.
+    #: The request header whose digest identifies the client.
     identity_header: Annotated[
         str,
         Field(
@@ -98,23 +98,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsSection:
-    """Sizes and counts that bound what one instance takes on."""
+    """Limits on the sizes and the number of requests of one instance."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: Largest request body taken.
+    #: Largest request body that is accepted.
     request_body_size_bytes: Annotated[
         int, Field(ge=0, le=1 << 26, description="Largest request body; above it 413.")
     ] = (1 << 20)
-    #: Largest answer body passed on.
+    #: Largest response body that is forwarded.
     answer_body_size_bytes: Annotated[
         int, Field(ge=0, le=1 << 26, description="Largest answer body; above it 502.")
     ] = (4 << 20)
-    #: Memory for the answers kept for idempotency keys.
+    #: Memory for the responses kept for idempotency keys.
     kept_answers_size_bytes: Annotated[
         int, Field(ge=1 << 16, description="Memory for answers kept for idempotency keys.")
     ] = (16 << 20)
-    #: Concurrent callers' requests held.
+    #: Largest number of concurrent client requests.
     requests_in_flight: Annotated[
         int, Field(ge=1, le=1_000_000, description="Requests held at once; above it 503.")
     ] = 2000
@@ -122,11 +122,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StopSection:
-    """How the instance stops."""
+    """Graceful stop of the instance."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: After this long a stop lists and cuts what is still in flight.
+    #: Time after which a stop lists and aborts the requests that are still in flight.
     deadline_s: Annotated[
         float,
         Field(gt=0, le=3600, description="When a stop cuts what is still in flight, listing it."),
@@ -135,11 +135,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSection:
-    """What is logged."""
+    """Logging."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
-    #: Least severe level that is logged.
+    #: Lowest level that is logged.
     level: Annotated[
         str, Field(pattern=r"^(debug|info|warning|error)$", description="Least severe level.")
     ] = "info"
@@ -147,23 +147,23 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """Everything an instance is told at its start."""
+    """All settings of one instance."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
     instance: InstanceSection
-    #: Where callers connect.
+    #: Where clients connect.
     caller_face: ListenSection
     #: Where other instances connect.
     peer_face: ListenSection
     #: Where operators connect.
     operator_face: ListenSection
     platform: PlatformSection
-    #: File that holds the key the fleet's instances prove to each other.
+    #: File with the shared key by which the fleet's instances authenticate each other.
     fleet_key_file: Annotated[
         str, Field(min_length=1, description="File with the fleet's shared key, 16 bytes or more.")
     ]
-    #: File that holds the operators' tokens, one ``TEAM = "TOKEN"`` line each; none: no writes.
+    #: File with the operators' tokens, a line ``TEAM = "TOKEN"`` each; None: writes are refused.
     operator_tokens_file: Annotated[
         str | None, Field(description="TOML file with one token for each team.")
     ] = None
@@ -173,7 +173,7 @@
     log: LogSection = field(default_factory=LogSection)
 
     def __post_init__(self) -> None:
-        """Refuse values that contradict each other."""
+        """Reject contradictory values."""
         if self.stop.deadline_s <= self.callers.resolve_ttl_s:
             raise ValueError(
                 f"stop.deadline_s ({self.stop.deadline_s}) must exceed callers.resolve_ttl_s "
@@ -189,7 +189,7 @@
 
 
 def parse_instance_settings(text: str, source: str) -> Result[InstanceSettings, InvalidSettings]:
-    """Read an instance's settings; the failure lists every fault with its key."""
+    """Parse the settings of an instance; a failure lists every fault with its key."""
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
--- a/src/egretrail/settings/_messages.py
+++ b/src/egretrail/settings/_messages.py
@@ -1,4 +1,4 @@
-"""What instances say to each other about settings."""
+"""Messages by which instances replicate settings."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
 @message("settings.run")
 @dataclass(frozen=True, slots=True)
 class SettingsRun(Message):
-    """Changes that the sender has just learned of."""
+    """Sends changes that the sender has just received."""
 
-    #: The changes, and what they complete.
+    #: The changes, with the revisions that they span.
     run: ChangeRun
 
 
@@ -22,50 +22,50 @@
 class CompareSettings(Message):
     """Asks whether the receiver holds the same settings."""
 
-    #: The root of the asker's digests.
+    #: The root of the sender's hash tree.
     root: int
-    #: The revision up to which the asker has seen every change.
+    #: The revision up to which the sender has seen every change.
     complete_revision: int
-    #: The revision up to which the asker knows that the store lost writes.
+    #: The revision up to which the store may have lost writes, as the sender knows.
     lost_upto_revision: int
 
 
 @message("settings.compared")
 @dataclass(frozen=True, slots=True)
 class SettingsCompared(Message):
-    """Says whether both hold the same, and how much the answer is worth."""
+    """Reply to ``CompareSettings``: the digests, and how current the replying instance is."""
 
-    #: The revision up to which the receiver has seen every change.
+    #: The revision up to which the replying instance has seen every change.
     complete_revision: int
-    #: The revision up to which the receiver knows that the store lost writes.
+    #: The revision up to which the store may have lost writes, as the replying instance knows.
     lost_upto_revision: int
-    #: The receiver's digests by bucket; empty when both hold the same.
+    #: The digest of each bucket; empty when both instances hold the same settings.
     buckets: Sequence[int]
-    #: Whether the receiver has caught up since its start.
+    #: Whether the replying instance has caught up with the store since its start.
     caught_up: bool
-    #: How long ago the store confirmed what the receiver holds; None: never, or not known.
+    #: Time since its settings were last confirmed as current by the store; None: unknown.
     confirmed_age_s: float | None
 
 
 @message("settings.differ")
 @dataclass(frozen=True, slots=True)
 class DifferSettings(Message):
-    """Asks for the differences in some buckets."""
+    """Asks for the differing changes of some buckets."""
 
-    #: The numbers of the buckets.
+    #: The indexes of the buckets.
     buckets: Sequence[int]
-    #: What the asker holds in them.
+    #: Marks of the changes that the sender holds in these buckets.
     marks: Sequence[HeldMark]
 
 
 @message("settings.difference")
 @dataclass(frozen=True, slots=True)
 class SettingsDifference(Message):
-    """Answers with what the asker lacks, up to a size, and what the receiver lacks."""
+    """Reply to ``DifferSettings``: missing changes, up to a size, and paths to send in return."""
 
-    #: Changes that the asker lacks.
+    #: Changes that the requesting instance is missing.
     changes: Sequence[SettingChange]
-    #: Paths of which the asker has the newer change.
+    #: Paths for which the requesting instance has the newer change.
     wanted: Sequence[str]
 
 
@@ -76,14 +76,14 @@
 
     #: The path.
     path: str
-    #: The change's generation.
+    #: The generation of the change.
     generation: int
 
 
 @message("settings.in-force-reply")
 @dataclass(frozen=True, slots=True)
 class InForceReply(Message):
-    """Says whether a change, or a later one of its path, is in force."""
+    """Reply to ``AskInForce``: whether a change, or a later one of its path, is in force."""
 
-    #: Whether it is.
+    #: Whether the change or a later one is in force.
     in_force: bool
--- a/src/egretrail/settings/_reference.py
+++ b/src/egretrail/settings/_reference.py
@@ -1,4 +1,4 @@
-"""The operators' page of every setting, made from the models so that it cannot fall behind."""
+"""Generates the reference page of all settings from the settings classes."""
 
 import dataclasses
 import enum
@@ -11,14 +11,14 @@
 from egretrail.settings._instance import InstanceSettings
 
 _UNITS = {"_s": "seconds", "_bytes": "bytes"}
-_RANGE_WORDS = {"ge": "from {}", "gt": "above {}", "le": "to {}", "lt": "below {}"}
-_HEAD = """# Settings
+_RANGE_FORMATS = {"ge": "from {}", "gt": "above {}", "le": "to {}", "lt": "below {}"}
+_HEADER = """# Settings
 
 Made from the models by `make docs-settings`; CI checks that it is current. Names match
 `^[a-z0-9][a-z0-9-]{0,62}$`. Unknown keys, values out of range and contradictions are refused, all
 at once, each with its key and reason.
 """
-_TABLE = "| Key | Type | Unit | Range | Default | Meaning |\n|---|---|---|---|---|---|"
+_TABLE_HEADER = "| Key | Type | Unit | Range | Default | Meaning |\n|---|---|---|---|---|---|"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,9 +36,9 @@
 
 
 def settings_reference() -> str:
-    """Return the page."""
+    """Return the reference page in Markdown."""
     parts = [
-        _HEAD,
+        _HEADER,
         "## An instance's file\n",
         "Given to `egretraild --settings FILE`; keys with a dot are in the table before the dot.\n",
         _table(InstanceSettings),
@@ -54,7 +54,7 @@
 
 
 def _table(model: type[Any]) -> str:
-    return "\n".join([_TABLE, *(str(row) for row in _rows(model, ""))])
+    return "\n".join([_TABLE_HEADER, *(str(row) for row in _rows(model, ""))])
 
 
 def _rows(model: type[Any], prefix: str) -> Iterator[_Row]:
@@ -68,22 +68,24 @@
 
 
 def _row(key: str, field: dataclasses.Field[Any], hint: Any) -> _Row:
-    infos = _infos(hint)
-    limits = [text for info in infos for text in _limits(info)]
+    infos = _field_infos(hint)
+    limits = [text for info in infos for text in _constraints(info)]
     meanings = [info.description for info in infos if info.description]
     unit = next((unit for suffix, unit in _UNITS.items() if key.endswith(suffix)), "")
-    return _Row(f"`{key}`", _kind(hint), unit, " ".join(limits), _default(field), meanings[-1])
+    return _Row(
+        f"`{key}`", _type_name(hint), unit, " ".join(limits), _default_text(field), meanings[-1]
+    )
 
 
-def _infos(hint: Any) -> Sequence[FieldInfo]:
+def _field_infos(hint: Any) -> Sequence[FieldInfo]:
     if get_origin(hint) is not Annotated:
         return []
     return [part for part in get_args(hint)[1:] if isinstance(part, FieldInfo)]
 
 
-def _limits(info: FieldInfo) -> Iterator[str]:
+def _constraints(info: FieldInfo) -> Iterator[str]:
     for limit in info.metadata:
-        for name, words in _RANGE_WORDS.items():
+        for name, words in _RANGE_FORMATS.items():
             if hasattr(limit, name):
                 yield words.format(getattr(limit, name))
         if getattr(limit, "pattern", None):
@@ -94,7 +96,7 @@
             yield f"at least {limit.min_length} character(s)"
 
 
-def _kind(hint: Any) -> str:
+def _type_name(hint: Any) -> str:
     bare = get_args(hint)[0] if get_origin(hint) is Annotated else hint
     bare = getattr(bare, "__supertype__", bare)
     if isinstance(bare, type) and issubclass(bare, enum.Enum):
@@ -105,7 +107,7 @@
     return "list of text" if get_origin(bare) is not None and "Sequence" in str(bare) else "text"
 
 
-def _default(field: dataclasses.Field[Any]) -> str:
+def _default_text(field: dataclasses.Field[Any]) -> str:
     if field.default is dataclasses.MISSING:
         return "required"
     value = field.default
--- a/src/egretrail/settings/_watchers.py
+++ b/src/egretrail/settings/_watchers.py
@@ -1,28 +1,31 @@
-"""Which instances keep the store's watch."""
+"""Selects the instances that watch the store for changes."""
 
 from collections.abc import Mapping
 
 from egretrail.identity import AvailabilityZone, InstanceName, rendezvous_order
 
-#: With few zones two watchers each, so that one that is frozen costs no time.
-_WATCHERS_IN_FEW_ZONES = 2
-#: With more zones than this, the zones stand in for each other.
+#: Watchers in each zone of a fleet with few zones: two, so that one stalled watcher causes no
+#: delay.
+_WATCHERS_PER_ZONE_OF_FEW = 2
+#: With more zones than this, watchers in other zones replace one that has stalled.
 _FEW_ZONES = 4
-#: Zones with a watcher: the store counts each waiting watch, and its rates grow slowly.
-_ZONES_LIMIT = 16
+#: Most zones with a watcher: the store counts every pending watch as a call, and its rate limits
+#: grow slowly with the fleet.
+_MAX_ZONES_WITH_WATCHER = 16
 
 
 def is_watcher(own: InstanceName, members: Mapping[InstanceName, AvailabilityZone]) -> bool:
-    """Return whether an instance watches: two in each zone of a few, else one.
+    """Return whether an instance watches the store.
 
-    Each instance works this out from its own view. Views that differ only make a few more
-    instances watch, or fewer for a while; comparisons then carry the changes. Only the instance's
-    own zone is ranked, which costs a tenth of the fleet's size rather than all of it.
+    With few zones each zone has two watchers, otherwise one. Each instance decides from its own
+    view of the members. If views differ, there are temporarily more or fewer watchers; with fewer,
+    comparisons between instances distribute the changes. Only the members of the instance's own
+    zone are ranked, about a tenth of a large fleet.
     """
     own_zone = members[own]
     zones = set(members.values())
-    if own_zone not in rendezvous_order("settings-watch", zones)[:_ZONES_LIMIT]:
+    if own_zone not in rendezvous_order("settings-watch", zones)[:_MAX_ZONES_WITH_WATCHER]:
         return False
-    rivals = [name for name, zone in members.items() if zone == own_zone]
-    each = _WATCHERS_IN_FEW_ZONES if len(zones) <= _FEW_ZONES else 1
-    return own in rendezvous_order(f"settings-watch/{own_zone}", rivals)[:each]
+    candidates = [name for name, zone in members.items() if zone == own_zone]
+    watcher_count = _WATCHERS_PER_ZONE_OF_FEW if len(zones) <= _FEW_ZONES else 1
+    return own in rendezvous_order(f"settings-watch/{own_zone}", candidates)[:watcher_count]
--- a/src/egretrail/settings/tests/test_catalogue.py
+++ b/src/egretrail/settings/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue moves forward only."""
+"""The catalogue never returns a path to an older value."""
 
 import random
 
@@ -50,13 +50,13 @@
         self.assertIs(expected, catalogue.apply(second))
         self.assertEqual(floor, _floor(catalogue))
 
-    def test_a_forgotten_deletion_still_refuses_what_came_before_it(self) -> None:
+    def test_changes_before_a_discarded_deletion_are_ignored(self) -> None:
         catalogue = Catalogue()
         catalogue.apply_run(ChangeRun(0, 7, [_change(5, 1), _change(7, None)]))
         self.assertIsNone(catalogue.held(_PATH))
         self.assertIs(Outcome.OLDER, catalogue.apply(_change(6, 1)))
 
-    def test_an_unreadable_value_leaves_the_last_readable_one(self) -> None:
+    def test_an_invalid_text_keeps_the_last_valid_value(self) -> None:
         catalogue = Catalogue()
         catalogue.apply(_change(5, 1))
         catalogue.apply(SettingChange(_PATH, 6, "change-6", "floor = 'many'"))
@@ -75,7 +75,9 @@
             "claims_nothing": (ChangeRun(9, 9, []), 4, False),
         }
     )
-    def test_a_run_completes_only_what_it_follows(self, row: tuple[ChangeRun, int, bool]) -> None:
+    def test_a_run_advances_completeness_only_without_a_gap(
+        self, row: tuple[ChangeRun, int, bool]
+    ) -> None:
         run, complete, gap = row
         catalogue = Catalogue()
         catalogue.complete_upto(4)
@@ -93,7 +95,7 @@
             "restored_and_overtaken": ([_change(3, 2)], 9, 5, 1, True),
         }
     )
-    def test_a_store_that_lost_writes_takes_nothing_away(
+    def test_a_store_that_lost_writes_deletes_nothing(
         self, row: tuple[list[SettingChange], int, int, int | None, bool]
     ) -> None:
         changes, revision, asked_at, floor, behind = row
@@ -102,7 +104,7 @@
         outcome = catalogue.apply_snapshot(changes, revision, asked_at)
         self.assertEqual((floor, behind), (_floor(catalogue), outcome.behind is not None))
 
-    def test_a_restored_store_does_not_bring_back_what_was_deleted(self) -> None:
+    def test_a_restored_store_does_not_restore_deleted_paths(self) -> None:
         catalogue = Catalogue()
         catalogue.apply_run(ChangeRun(0, 7, [_change(5, 1), _change(7, None)]))
         outcome = catalogue.apply_snapshot([_change(5, 1)], 9, 7)
@@ -123,7 +125,7 @@
 
 
 class CatalogueMachine(RuleBasedStateMachine):
-    """Instances that get runs doubled, reordered or never, and compare with each other."""
+    """Instances that receive runs duplicated, reordered or not at all, and compare their state."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -152,19 +154,19 @@
         exchange(self.instances[who], self.instances[other])
 
     @rule(who=st.integers(0, 2))
-    def join_again(self, who: int) -> None:
+    def restart(self, who: int) -> None:
         self.instances[who] = Catalogue()
         self.seen[who] = {}
 
     @rule(who=st.integers(0, 2))
     def snapshot(self, who: int) -> None:
         state = {change.path: change for change in self.log if change.text is not None}
-        gone = {c.path for c in self.log if c.text is None and not self._later(c)}
-        shown = [change for path, change in state.items() if path not in gone]
+        deleted = {c.path for c in self.log if c.text is None and not self._is_superseded(c)}
+        present = [change for path, change in state.items() if path not in deleted]
         instance = self.instances[who]
-        instance.apply_snapshot(shown, len(self.log), instance.complete_revision)
+        instance.apply_snapshot(present, len(self.log), instance.complete_revision)
 
-    def _later(self, change: SettingChange) -> bool:
+    def _is_superseded(self, change: SettingChange) -> bool:
         return any(c.path == change.path and c.generation > change.generation for c in self.log)
 
     @invariant()
@@ -208,7 +210,7 @@
 
 
 class DigestTest(EgretrailTestCase):
-    def test_the_order_of_changes_leaves_no_trace(self) -> None:
+    def test_digests_do_not_depend_on_the_order_of_changes(self) -> None:
         changes = [_change(i + 1, i, f"t/services/n{i % 300}") for i in range(900)]
         roots = set()
         for seed in range(3):
--- a/src/egretrail/settings/tests/test_parsing.py
+++ b/src/egretrail/settings/tests/test_parsing.py
@@ -1,4 +1,4 @@
-"""The parsers of settings: every fault at once, and no text breaks them."""
+"""The parsers of settings: all faults are reported, and arbitrary text does not raise."""
 
 import tomli_w
 from hypothesis import given, settings
@@ -37,7 +37,7 @@
 class FuzzTest(EgretrailTestCase):
     @_fuzz
     @given(st.text(max_size=200))
-    def test_no_text_breaks_a_parser(self, text: str) -> None:
+    def test_arbitrary_text_does_not_raise(self, text: str) -> None:
         for path in _PATHS:
             self.assertIsInstance(parse_setting(path, text), (Ok, Err))
         self.assertIsInstance(parse_instance_settings(text, "f"), (Ok, Err))
@@ -48,7 +48,7 @@
 
     @_fuzz
     @given(st.dictionaries(_KEYS, _VALUES, max_size=6))
-    def test_no_document_breaks_a_parser(self, document: dict[str, object]) -> None:
+    def test_arbitrary_documents_do_not_raise(self, document: dict[str, object]) -> None:
         text = tomli_w.dumps(document)
         for path in _PATHS:
             self.assertIsInstance(parse_setting(path, text), (Ok, Err))
@@ -57,7 +57,7 @@
 
 
 class FaultsTest(EgretrailTestCase):
-    def test_an_instance_file_shows_every_fault_with_file_key_and_reason(self) -> None:
+    def test_an_instance_file_reports_every_fault_with_file_and_key(self) -> None:
         text = """
             fleet_key_file = ""
             [instance]
@@ -102,7 +102,7 @@
             "prefix_with_a_query": (1, 'service = "a"\npath_prefix = "/x?y"'),
         }
     )
-    def test_refused_values(self, row: tuple[int, str]) -> None:
+    def test_invalid_values_are_refused(self, row: tuple[int, str]) -> None:
         kind, text = row
         self.assertIsInstance(parse_setting(_PATHS[kind], text), Err)
 
@@ -120,7 +120,7 @@
             "missing": (None, None),
         }
     )
-    def test_a_token_names_its_team(self, row: tuple[str | None, str | None]) -> None:
+    def test_a_token_identifies_its_team(self, row: tuple[str | None, str | None]) -> None:
         header, team = row
         text = 'a = "one-token-for-team-a"\nb = "one-token-for-team-b"'
         tokens = parse_operator_tokens(text, "f").unwrap()
@@ -136,7 +136,7 @@
             "not_toml": "secret-secret-secret",
         }
     )
-    def test_faults_never_show_a_token(self, text: str) -> None:
+    def test_faults_never_contain_a_token(self, text: str) -> None:
         refused = parse_operator_tokens(text, "f")
         assert isinstance(refused, Err)
         self.assertNotIn("secret", str(refused.err_value))
@@ -157,11 +157,11 @@
 
 class WatcherTest(EgretrailTestCase):
     @cases({"few_zones": (44, 3, 6), "many_zones": (3500, 11, 1), "alone": (1, 1, 1)})
-    def test_a_few_watch_in_every_zone(self, row: tuple[int, int, int]) -> None:
+    def test_every_zone_has_few_watchers(self, row: tuple[int, int, int]) -> None:
         size, zones, expected = row
         members = {
             InstanceName(f"i{n}"): AvailabilityZone(f"zone-{n % zones}") for n in range(size)
         }
-        # Of a large fleet one zone is enough; the zones are alike.
+        # In a large fleet all zones are alike, so that checking one zone is enough.
         asked = [name for name, zone in members.items() if size < 99 or zone == "zone-0"]
         self.assertEqual(expected, sum(is_watcher(name, members) for name in asked))
