--- a/src/egretrail/settings/_instance.py
+++ b/src/egretrail/settings/_instance.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersSection:
-    """TTL of the responses that clients resolve instances with, and identification of clients."""
+    """TTL of resolve responses, and the header that identifies a client."""
 
     __pydantic_config__: ClassVar[ConfigDict] = _STRICT
 
