--- a/src/egretrail/cli/_report.py
+++ b/src/egretrail/cli/_report.py
@@ -10,7 +10,7 @@
 from pydantic import TypeAdapter
 
 from egretrail.cli._output import Context, json_option, print_json, unwrap
-from egretrail.report import BurnRate, FleetReport, ServiceSummary, budget_left
+from egretrail.report import BurnRate, FleetReport, ServiceSummary, remaining_budget
 
 _REPORT = TypeAdapter(FleetReport)
 
@@ -78,7 +78,7 @@
         shown = (name, objective) if number == 0 else ("", "")
         lines.append(
             f"{shown[0]:<34}{shown[1]:>16}{_window_name(burn.window_s):>8}{burn.requests:>10}"
-            f"{burn.rate:>8.1f}{budget_left(burn):>8.0%}  {_alert_level(burn.rate):<7}"
+            f"{burn.rate:>8.1f}{remaining_budget(burn):>8.0%}  {_alert_level(burn.rate):<7}"
             f"{_burnt_text(burn.burnt)}"
         )
     return lines
--- a/src/egretrail/daemon/_accounting.py
+++ b/src/egretrail/daemon/_accounting.py
@@ -74,7 +74,7 @@
                     self._begin(service, upstream, verdict, now_s)
             elif name in self._ejected:
                 self._ejected.discard(name)
-                self._recorder.returned(service, upstream, now_s)
+                self._recorder.record_return(service, upstream, now_s)
                 _log.info("upstream_returned", service=service, upstream=upstream)
             if verdict.state is UpstreamState.HEALTHY:
                 self._first_fault_s.pop(name, None)
@@ -85,7 +85,7 @@
         self._ejected.add((service, upstream))
         detected_after_s = now_s - self._first_fault_s.get((service, upstream), now_s)
         cause = verdict.cause.value
-        self._recorder.ejected(service, upstream, cause, detected_after_s, now_s)
+        self._recorder.record_ejection(service, upstream, cause, detected_after_s, now_s)
         self._metrics.ejections.labels(service, cause).inc()
         _log.warning(
             "upstream_ejected",
--- a/src/egretrail/idempotency/__init__.py
+++ b/src/egretrail/idempotency/__init__.py
@@ -7,14 +7,14 @@
 
 from egretrail.idempotency._binding import request_binding
 from egretrail.idempotency._home import (
-    AskWitness,
     Dispatch,
     Home,
     Join,
+    KeyOutcome,
+    RecordAtWitness,
     Reply,
     RequestStep,
     Settled,
-    SettledKey,
     VerdictStep,
 )
 from egretrail.idempotency._key import (
@@ -29,13 +29,12 @@
 )
 from egretrail.idempotency._limits import KeyLimits
 from egretrail.idempotency._messages import (
-    AskPrefix,
     AwaitKeyed,
     CloseGeneration,
+    FetchPrefix,
     GenerationOpened,
-    KeepOutcome,
     KeyedReply,
-    KeyStanding,
+    KeyStatus,
     OpenGeneration,
     PrefixReply,
     QueryWitness,
@@ -44,6 +43,7 @@
     RecordVerdict,
     RelayKeyed,
     RunKeyed,
+    StoreOutcome,
 )
 from egretrail.idempotency._records import ANSWER_DROPPED, Generation, Phase, Record, RecordStore
 from egretrail.idempotency._refusals import (
@@ -62,11 +62,10 @@
     "KEY_REUSED",
     "RECORD_LOST",
     "STILL_RUNNING",
-    "AskPrefix",
-    "AskWitness",
     "AwaitKeyed",
     "CloseGeneration",
     "Dispatch",
+    "FetchPrefix",
     "ForgedKey",
     "Generation",
     "GenerationOpened",
@@ -74,11 +73,11 @@
     "IdempotencyKey",
     "InvalidKeySuffix",
     "Join",
-    "KeepOutcome",
     "KeyFailure",
     "KeyLimits",
+    "KeyOutcome",
     "KeyPrefix",
-    "KeyStanding",
+    "KeyStatus",
     "KeyedReply",
     "MalformedKey",
     "OpenGeneration",
@@ -86,6 +85,7 @@
     "PrefixReply",
     "QueryWitness",
     "Record",
+    "RecordAtWitness",
     "RecordKey",
     "RecordReply",
     "RecordStore",
@@ -95,7 +95,7 @@
     "RequestStep",
     "RunKeyed",
     "Settled",
-    "SettledKey",
+    "StoreOutcome",
     "VerdictStep",
     "Witness",
     "issue_prefix",
--- a/src/egretrail/idempotency/_home.py
+++ b/src/egretrail/idempotency/_home.py
@@ -38,13 +38,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskWitness:
+class RecordAtWitness:
     """Send the key to the witness to be recorded, then pass the verdict to ``on_verdict``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Dispatch the request, then pass the response to ``on_executed``."""
+    """Dispatch the request, then pass the response to ``on_result``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettledKey:
+class KeyOutcome:
     """A key with its outcome, as it is sent to the witness."""
 
     key: IdempotencyKey
@@ -66,7 +66,7 @@
     answer: Answer
 
 
-RequestStep = Reply | Join | AskWitness | Dispatch
+RequestStep = Reply | Join | RecordAtWitness | Dispatch
 VerdictStep = Dispatch | Settled
 
 
@@ -91,7 +91,7 @@
         """Return whether this incarnation of the instance is the home of the key."""
         return key.prefix.home == self._own
 
-    def ask_generation(self) -> int:
+    def start_opening(self) -> int:
         """Start the opening of a generation and return its number.
 
         Replies to earlier openings are ignored from now on.
@@ -112,7 +112,7 @@
         self._records.open(prefix, now_s)
         return True
 
-    def open_alone(self, now_s: float) -> KeyPrefix | None:
+    def open_without_witness(self, now_s: float) -> KeyPrefix | None:
         """Open a generation without a witness, for use when no other instance is reachable.
 
         The keys still run at most once, because only this process starts them. Without a copy at a
@@ -120,18 +120,18 @@
 
         Returns None while stopping.
         """
-        opening = self.ask_generation()
+        opening = self.start_opening()
         prefix = KeyPrefix(self._own, None, opening)
         return prefix if self.open(opening, prefix, now_s) else None
 
-    def issuing(self, now_s: float) -> KeyPrefix | None:
+    def prefix_to_issue(self, now_s: float) -> KeyPrefix | None:
         """Return the prefix to issue to clients; None when no open generation is recent enough."""
         newest: KeyPrefix | None = None
         for prefix, generation in self._records.generations():
             # At most half full, which leaves capacity for clients that already hold the prefix.
             has_capacity = len(generation.records) * 2 < self._limits.generation_keys
             is_recent = now_s - generation.opened_s < self._limits.issue_s
-            if generation.accepting and has_capacity and is_recent:
+            if generation.is_accepting and has_capacity and is_recent:
                 newest = prefix
         return newest
 
@@ -148,7 +148,7 @@
         record = Record(binding, Phase.RECORDING)
         self._records.add(key, record)
         if key.prefix.witness is not None:
-            return AskWitness()
+            return RecordAtWitness()
         record.phase = Phase.STARTED
         return Dispatch()
 
@@ -186,7 +186,7 @@
             self._unconfirmed[key] = None
         return Settled(refusal)
 
-    def on_executed(self, key: IdempotencyKey, answer: Answer) -> Settled:
+    def on_result(self, key: IdempotencyKey, answer: Answer) -> Settled:
         """Record the result of a dispatched request; a refusal ``not-run`` seals the key."""
         record = self._records.find(key)
         if record is not None and record.phase is not Phase.SETTLED:
@@ -195,24 +195,24 @@
                 self._unconfirmed[key] = None
         return Settled(answer)
 
-    def on_kept(self, key: IdempotencyKey) -> None:
+    def on_outcome_confirmed(self, key: IdempotencyKey) -> None:
         """Record that the witness has confirmed the outcome."""
         self._unconfirmed.pop(key, None)
 
-    def on_not_kept(self, key: IdempotencyKey) -> None:
+    def on_outcome_send_failed(self, key: IdempotencyKey) -> None:
         """Record that sending the outcome failed: move it to the end of the queue."""
         if key in self._unconfirmed:
             del self._unconfirmed[key]
             self._unconfirmed[key] = None
 
-    def settled(self, key: IdempotencyKey) -> SettledKey | None:
+    def settled(self, key: IdempotencyKey) -> KeyOutcome | None:
         """Return a settled key with its outcome; None when the key is unknown or not settled."""
         record = self._records.find(key)
         if record is None or record.answer is None or record.binding is None:
             return None
-        return SettledKey(key, record.binding, record.answer)
+        return KeyOutcome(key, record.binding, record.answer)
 
-    def unkept(self, limit_count: int) -> Sequence[SettledKey]:
+    def unconfirmed_outcomes(self, limit_count: int) -> Sequence[KeyOutcome]:
         """Return keys whose outcome the witness has not confirmed, least recently sent first."""
         settled = (self.settled(key) for key in self._unconfirmed)
         return list(
@@ -240,7 +240,7 @@
         closed: list[KeyPrefix] = []
         for prefix, generation in self._records.generations():
             age_s = now_s - generation.opened_s
-            if age_s >= self._limits.accept_s and generation.accepting:
+            if age_s >= self._limits.accept_s and generation.is_accepting:
                 self._records.close(prefix)
                 closed.append(prefix)
             if age_s >= self._limits.retain_s:
@@ -263,7 +263,7 @@
         requests.
         """
         for prefix, _ in self._records.generations():
-            if not self._records.full:
+            if not self._records.is_full:
                 return
             if prefix != wanted:
                 self.drop(prefix)
--- a/src/egretrail/idempotency/_messages.py
+++ b/src/egretrail/idempotency/_messages.py
@@ -22,7 +22,7 @@
     REFUSED = "refused"
 
 
-class KeyStanding(enum.Enum):
+class KeyStatus(enum.Enum):
     """Status of a key at a home or a witness."""
 
     #: The reply contains the response or refusal to return to the client.
@@ -74,7 +74,7 @@
 
 @message("key-outcome")
 @dataclass(frozen=True, slots=True)
-class KeepOutcome(Message):
+class StoreOutcome(Message):
     """A home sends the outcome of a key to its witness; acknowledged."""
 
     key: IdempotencyKey
@@ -140,21 +140,21 @@
     """The status of a key at a home or a witness."""
 
     #: The status.
-    standing: KeyStanding
+    standing: KeyStatus
     #: The response or refusal; set when the status is ``ANSWERED``.
     answer: RecordedAnswer | Refusal | None = None
 
 
 @message("key-ask-prefix")
 @dataclass(frozen=True, slots=True)
-class AskPrefix(Message):
+class FetchPrefix(Message):
     """Asks a home for the prefix to issue to clients; answered by ``PrefixReply``."""
 
 
 @message("key-prefix")
 @dataclass(frozen=True, slots=True)
 class PrefixReply(Message):
-    """The reply to ``AskPrefix``."""
+    """The reply to ``FetchPrefix``."""
 
     #: The prefix; None: issue none, for instance because the home is stopping.
     prefix: str | None
--- a/src/egretrail/idempotency/_records.py
+++ b/src/egretrail/idempotency/_records.py
@@ -46,7 +46,7 @@
     #: When the generation was opened, on the clock of the process that holds it.
     opened_s: float
     #: Whether new keys are accepted; never true again once it is false.
-    accepting: bool = True
+    is_accepting: bool = True
     #: Records that are not settled.
     unsettled_count: int = 0
     #: Records by suffix; no record is removed while the generation is held.
@@ -90,7 +90,7 @@
         return sum(generation.unsettled_count for generation in self._generations.values())
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether no record can be added before a generation is dropped."""
         return self._records_count >= self._limits.records_count
 
@@ -106,7 +106,7 @@
         """Stop accepting new keys in a generation, permanently."""
         generation = self._generations.get(prefix)
         if generation is not None:
-            generation.accepting = False
+            generation.is_accepting = False
 
     def drop(self, prefix: KeyPrefix) -> None:
         """Drop a generation and its records."""
@@ -126,9 +126,9 @@
         generation = self._generations.get(prefix)
         if generation is None:
             return False
-        if self.full or len(generation.records) >= self._limits.generation_keys:
-            generation.accepting = False
-        return generation.accepting
+        if self.is_full or len(generation.records) >= self._limits.generation_keys:
+            generation.is_accepting = False
+        return generation.is_accepting
 
     def find(self, key: IdempotencyKey) -> Record | None:
         """Return the record of a key; None when there is none."""
--- a/src/egretrail/idempotency/_witness.py
+++ b/src/egretrail/idempotency/_witness.py
@@ -109,7 +109,7 @@
     def _accepts(self, wanted: KeyPrefix) -> bool:
         """Return whether a generation accepts a new record; a full store drops older ones."""
         for prefix, _ in self._records.generations():
-            if self._records.full and prefix != wanted:
+            if self._records.is_full and prefix != wanted:
                 self._records.drop(prefix)
         return self._records.accepts(wanted)
 
--- a/src/egretrail/idempotency/tests/exploration.py
+++ b/src/egretrail/idempotency/tests/exploration.py
@@ -10,12 +10,12 @@
 from typing import TypeVar
 
 from egretrail.idempotency import (
-    AskWitness,
     Dispatch,
     Home,
     IdempotencyKey,
     KeyLimits,
     KeyPrefix,
+    RecordAtWitness,
     RecordVerdict,
     Reply,
     Settled,
@@ -134,12 +134,12 @@
     at_home = world.homes[home]
     assert at_home is not None
     if witness is None:
-        alone = at_home.open_alone(_NOW_S)
+        alone = at_home.open_without_witness(_NOW_S)
         assert alone is not None
         return alone
     at_witness = world.witnesses[witness]
     assert at_witness is not None
-    opening = at_home.ask_generation()
+    opening = at_home.start_opening()
     prefix = at_witness.open(world.own(home), _NOW_S)
     assert at_home.open(opening, prefix, _NOW_S)
     if resend:
@@ -191,7 +191,7 @@
             world.respond(key, binding, step.answer)
         elif isinstance(step, Dispatch):
             world.dispatch(key, binding)
-        if isinstance(step, AskWitness):
+        if isinstance(step, RecordAtWitness):
             assert key.prefix.witness is not None
             to = key.prefix.witness.instance
             sender = world.own(key.prefix.home.instance)
@@ -248,7 +248,7 @@
             world.may_have_run -= {key}
         home = world.home(key.prefix.home.instance)
         if home is not None and home.owns(key):
-            step = home.on_executed(key, answer)
+            step = home.on_result(key, answer)
             world.respond(key, binding, step.answer)
             _send_outcome(world, key, binding, step.answer)
 
@@ -278,7 +278,7 @@
             )
             sender_home = world.home(key.prefix.home.instance)
             if sender_home is not None:
-                sender_home.on_kept(key)
+                sender_home.on_outcome_confirmed(key)
         elif message.kind == "close" and message.prefix is not None:
             _not_none(world.witness(message.to)).on_close(message.sender, message.prefix)
         elif message.kind == "opened" and message.prefix is not None:
--- a/src/egretrail/idempotency/tests/exploration_world.py
+++ b/src/egretrail/idempotency/tests/exploration_world.py
@@ -190,7 +190,7 @@
     if not isinstance(value, RecordStore):
         return frozenset(value) if isinstance(value, dict) else value
     generations = tuple(
-        (prefix, generation.accepting, _records_fingerprint(generation))
+        (prefix, generation.is_accepting, _records_fingerprint(generation))
         for prefix, generation in value.generations()
     )
     return (generations, tuple(vars(value)["_answers"]))
--- a/src/egretrail/idempotency/tests/test_exploration.py
+++ b/src/egretrail/idempotency/tests/test_exploration.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass
 
 from egretrail.idempotency import (
-    AskWitness,
     Dispatch,
     Home,
     IdempotencyKey,
     KeyLimits,
     Phase,
     Record,
+    RecordAtWitness,
     RecordVerdict,
     RequestStep,
     Settled,
@@ -81,7 +81,7 @@
     def on_request(self, key: IdempotencyKey, binding: bytes) -> RequestStep:
         step = super().on_request(key, binding)
         record = self.records.find(key)
-        if not isinstance(step, AskWitness) or record is None:
+        if not isinstance(step, RecordAtWitness) or record is None:
             return step
         record.phase = Phase.STARTED
         return Dispatch()
@@ -103,8 +103,8 @@
 
 
 class ForgetsUndispatchedKeys(Home):
-    def on_executed(self, key: IdempotencyKey, answer: Answer) -> Settled:
-        settled = super().on_executed(key, answer)
+    def on_result(self, key: IdempotencyKey, answer: Answer) -> Settled:
+        settled = super().on_result(key, answer)
         if isinstance(answer, Refusal) and answer.outcome is Outcome.NOT_RUN:
             _forget(self, key)
         return settled
@@ -149,7 +149,7 @@
 class RecordsInClosedGenerations(Witness):
     def on_record(self, sender: Incarnation, key: IdempotencyKey, binding: bytes) -> RecordVerdict:
         for _, generation in self.records.generations():
-            generation.accepting = True
+            generation.is_accepting = True
         return super().on_record(sender, key, binding)
 
 
--- a/src/egretrail/report/__init__.py
+++ b/src/egretrail/report/__init__.py
@@ -5,13 +5,13 @@
     BurnRate,
     Objective,
     RouteBurn,
-    budget_left,
     burn_rate,
+    remaining_budget,
 )
 from egretrail.report._messages import (
     EjectionReport,
+    FetchReport,
     InstanceReport,
-    ReportAsk,
     RouteCounts,
 )
 from egretrail.report._recorder import AnswerKind, BurnRecorder
@@ -23,14 +23,14 @@
     "BurnRate",
     "BurnRecorder",
     "EjectionReport",
+    "FetchReport",
     "FleetReport",
     "InstanceReport",
     "Objective",
-    "ReportAsk",
     "RouteBurn",
     "RouteCounts",
     "ServiceSummary",
-    "budget_left",
     "burn_rate",
+    "remaining_budget",
     "summarise",
 ]
--- a/src/egretrail/report/_burn.py
+++ b/src/egretrail/report/_burn.py
@@ -56,6 +56,6 @@
     return BurnRate(window_s, requests, burnt, bad_share / (1.0 - objective.share))
 
 
-def budget_left(burn: BurnRate) -> float:
+def remaining_budget(burn: BurnRate) -> float:
     """Return the remaining share of the window's error budget; negative when exceeded."""
     return 1.0 - burn.rate
--- a/src/egretrail/report/_messages.py
+++ b/src/egretrail/report/_messages.py
@@ -42,7 +42,7 @@
 
 @message("report-ask")
 @dataclass(frozen=True, slots=True)
-class ReportAsk(Message):
+class FetchReport(Message):
     """Asks an instance for its report."""
 
 
--- a/src/egretrail/report/_recorder.py
+++ b/src/egretrail/report/_recorder.py
@@ -78,7 +78,7 @@
         counts = buckets[-1].counts
         counts[kind] = counts.get(kind, 0) + 1
 
-    def ejected(
+    def record_ejection(
         self,
         service: ServiceName,
         upstream: UpstreamName,
@@ -93,7 +93,7 @@
         ejection = _Ejection(service, upstream, cause, detected_after_s, now_s)
         self._ongoing.setdefault((service, upstream), ejection)
 
-    def returned(self, service: ServiceName, upstream: UpstreamName, now_s: float) -> None:
+    def record_return(self, service: ServiceName, upstream: UpstreamName, now_s: float) -> None:
         """Record that an ejected upstream gets requests again."""
         ejection = self._ongoing.pop((service, upstream), None)
         if ejection is not None:
--- a/src/egretrail/report/tests/test_report.py
+++ b/src/egretrail/report/tests/test_report.py
@@ -3,7 +3,14 @@
 import dataclasses
 
 from egretrail.identity import InstanceName, RouteName, ServiceName, UpstreamName
-from egretrail.report import AnswerKind, BurnRecorder, Objective, budget_left, burn_rate, summarise
+from egretrail.report import (
+    AnswerKind,
+    BurnRecorder,
+    Objective,
+    burn_rate,
+    remaining_budget,
+    summarise,
+)
 from egretrail.testing import EgretrailTestCase, cases
 
 _SERVICE = ServiceName("team/shop")
@@ -25,7 +32,7 @@
         counts, expected = row
         burn = burn_rate(counts, Objective(0.999, 1.0), 300.0)
         self.assertAlmostEqual(expected, burn.rate, places=6)
-        self.assertAlmostEqual(1.0 - expected, budget_left(burn), places=6)
+        self.assertAlmostEqual(1.0 - expected, remaining_budget(burn), places=6)
 
 
 class BurnRecorderTest(EgretrailTestCase):
@@ -41,9 +48,9 @@
     def test_an_ejection_is_reported_while_it_lasts_and_afterwards(self) -> None:
         recorder = BurnRecorder()
         upstream = UpstreamName("shop-1")
-        recorder.ejected(_SERVICE, upstream, "failures", 0.4, 10.0)
+        recorder.record_ejection(_SERVICE, upstream, "failures", 0.4, 10.0)
         ongoing = recorder.report(InstanceName("one"), 0, 15.0).ejections
-        recorder.returned(_SERVICE, upstream, 20.0)
+        recorder.record_return(_SERVICE, upstream, 20.0)
         ended = recorder.report(InstanceName("one"), 0, 60.0).ejections
         self.assertEqual([(False, 5.0)], [(e.over, e.duration_s) for e in ongoing])
         self.assertEqual([(True, 10.0)], [(e.over, e.duration_s) for e in ended])
--- a/src/egretrail/runtime/_key_generations.py
+++ b/src/egretrail/runtime/_key_generations.py
@@ -58,7 +58,7 @@
 
     def current(self, now_s: float) -> KeyPrefix | None:
         """Return the prefix to issue to clients; None while there is none."""
-        return self._home.issuing(now_s)
+        return self._home.prefix_to_issue(now_s)
 
     def on_generation_lost(self, prefix: KeyPrefix, witness_answers: bool) -> None:
         """Request a new generation at once, at another witness if this one did not answer."""
@@ -89,7 +89,7 @@
 
     def _needs_renewal(self, now_s: float) -> bool:
         soon_s = now_s + self._limits.issue_s * _RENEW_SHARE
-        prefix = self._home.issuing(soon_s)
+        prefix = self._home.prefix_to_issue(soon_s)
         if prefix is None:
             return True
         return not self._has_live_witness(prefix) and bool(self._candidates())
@@ -123,7 +123,7 @@
         for member in self._candidates()[:_OPEN_TRIES]:
             if await self._open_at(member):
                 return
-        if self._home.issuing(asyncio.get_running_loop().time()) is None:
+        if self._home.prefix_to_issue(asyncio.get_running_loop().time()) is None:
             self._open_without_witness()
 
     def _open_without_witness(self) -> None:
@@ -132,12 +132,12 @@
             self._last_witnessed_s = now_s
         if now_s - self._last_witnessed_s < _WITHOUT_WITNESS_AFTER_S:
             return
-        prefix = self._home.open_alone(now_s)
+        prefix = self._home.open_without_witness(now_s)
         if prefix is not None:
             _log.warning("keys_without_witness", home=str(prefix.home))
 
     async def _open_at(self, member: Member) -> bool:
-        opening = self._home.ask_generation()
+        opening = self._home.start_opening()
         body = OpenGeneration(opening)
         asked = await self._network.ask(member.name, body, GenerationOpened, _OPEN_TIMEOUT_S)
         if not isinstance(asked, Ok) or asked.ok_value.prefix is None:
--- a/src/egretrail/runtime/_key_prefixes.py
+++ b/src/egretrail/runtime/_key_prefixes.py
@@ -5,7 +5,7 @@
 
 from result import Ok
 
-from egretrail.idempotency import AskPrefix, PrefixReply
+from egretrail.idempotency import FetchPrefix, PrefixReply
 from egretrail.identity import Incarnation
 from egretrail.peer import PeerNetwork
 
@@ -57,7 +57,7 @@
         return task
 
     async def _fetch_prefix(self, home: Incarnation) -> str | None:
-        asked = await self._network.ask(home.instance, AskPrefix(), PrefixReply, _TIMEOUT_S)
+        asked = await self._network.ask(home.instance, FetchPrefix(), PrefixReply, _TIMEOUT_S)
         prefix = asked.ok_value.prefix if isinstance(asked, Ok) else None
         self._cache.pop(home, None)
         if prefix is not None:
--- a/src/egretrail/runtime/_keyed.py
+++ b/src/egretrail/runtime/_keyed.py
@@ -9,14 +9,14 @@
 
 from egretrail.fleet import FleetView
 from egretrail.idempotency import (
-    AskPrefix,
     AwaitKeyed,
+    FetchPrefix,
     ForgedKey,
     Home,
     KeyedReply,
     KeyFailure,
     KeyLimits,
-    KeyStanding,
+    KeyStatus,
     PrefixReply,
     RelayKeyed,
     RunKeyed,
@@ -93,7 +93,7 @@
         self._network.on(RunKeyed, self._on_run)
         self._network.on(RelayKeyed, self._on_relay)
         self._network.on(AwaitKeyed, self._at_home.on_await)
-        self._network.on(AskPrefix, self._on_ask_prefix)
+        self._network.on(FetchPrefix, self._on_ask_prefix)
         self._at_witness.start()
         await self._generations.tick()
         loop = asyncio.get_running_loop()
@@ -171,10 +171,10 @@
     async def _on_run(self, _sender: Incarnation, body: RunKeyed) -> KeyedReply:
         parsed = parse_key(body.request.key or "", self._fleet_key)
         if isinstance(parsed, Err):
-            return KeyedReply(KeyStanding.ANSWERED, _invalid(parsed.err_value))
+            return KeyedReply(KeyStatus.ANSWERED, _invalid(parsed.err_value))
         key = parsed.ok_value
         if not self._home.owns(key):
-            return KeyedReply(KeyStanding.NOT_HERE)
+            return KeyedReply(KeyStatus.NOT_HERE)
         binding = request_binding(body.request)
         return await self._at_home.wait_and_reply(
             self._at_home.start_request(key, binding, body.request)
@@ -183,12 +183,12 @@
     async def _on_relay(self, _sender: Incarnation, body: RelayKeyed) -> KeyedReply:
         parsed = parse_key(body.request.key or "", self._fleet_key)
         if isinstance(parsed, Err):
-            return KeyedReply(KeyStanding.ANSWERED, _invalid(parsed.err_value))
+            return KeyedReply(KeyStatus.ANSWERED, _invalid(parsed.err_value))
         binding = request_binding(body.request)
         answer = await self._receiver.find_answer(parsed.ok_value, binding, body.request)
-        return KeyedReply(KeyStanding.ANSWERED, answer)
+        return KeyedReply(KeyStatus.ANSWERED, answer)
 
-    async def _on_ask_prefix(self, _sender: Incarnation, _body: AskPrefix) -> PrefixReply:
+    async def _on_ask_prefix(self, _sender: Incarnation, _body: FetchPrefix) -> PrefixReply:
         return PrefixReply(self.own_prefix())
 
 
--- a/src/egretrail/runtime/_keyed_home.py
+++ b/src/egretrail/runtime/_keyed_home.py
@@ -9,22 +9,22 @@
 
 from egretrail.idempotency import (
     DISPATCH_FAILED,
-    AskWitness,
     AwaitKeyed,
     CloseGeneration,
     Dispatch,
     Home,
     IdempotencyKey,
     Join,
-    KeepOutcome,
     KeyedReply,
+    KeyOutcome,
     KeyPrefix,
-    KeyStanding,
+    KeyStatus,
+    RecordAtWitness,
     RecordKey,
     RecordReply,
     RecordVerdict,
     Reply,
-    SettledKey,
+    StoreOutcome,
 )
 from egretrail.identity import Incarnation
 from egretrail.peer import PeerNetwork
@@ -90,7 +90,7 @@
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._pending[key] = answer
         until_s = asyncio.get_running_loop().time() + request.deadline_s
-        if isinstance(step, AskWitness):
+        if isinstance(step, RecordAtWitness):
             self._spawn(self._record_and_run(key, binding, request, until_s))
         else:
             self._spawn(self._run(key, request, until_s))
@@ -100,21 +100,21 @@
         """Wait up to ``HOLD_S`` for the answer, and reply with what is known then."""
         await asyncio.wait({answer}, timeout=HOLD_S)
         if answer.done():
-            return KeyedReply(KeyStanding.ANSWERED, answer.result())
-        return KeyedReply(KeyStanding.RUNNING)
+            return KeyedReply(KeyStatus.ANSWERED, answer.result())
+        return KeyedReply(KeyStatus.RUNNING)
 
     async def on_await(self, _sender: Incarnation, body: AwaitKeyed) -> KeyedReply:
         """Reply with the state of a key, without starting its request."""
         known = self._home.on_await(body.key, body.binding)
         if known is None or not self._home.owns(body.key):
-            return KeyedReply(KeyStanding.NOT_HERE)
+            return KeyedReply(KeyStatus.NOT_HERE)
         if isinstance(known, Reply):
-            return KeyedReply(KeyStanding.ANSWERED, known.answer)
+            return KeyedReply(KeyStatus.ANSWERED, known.answer)
         return await self.wait_and_reply(self._pending[body.key])
 
     async def store_outcomes_again(self) -> bool:
         """Send outcomes that no witness has confirmed again; return whether all were stored."""
-        settled = self._home.unkept(_RESENT_OUTCOMES_LIMIT)
+        settled = self._home.unconfirmed_outcomes(_RESENT_OUTCOMES_LIMIT)
         stored = await asyncio.gather(*(self._store_outcome(outcome) for outcome in settled))
         return all(stored)
 
@@ -124,12 +124,12 @@
             if prefix.witness is not None:
                 self._network.send(prefix.witness.instance, CloseGeneration(prefix))
         while asyncio.get_running_loop().time() < until_s:
-            if self._home.unkept(1):
+            if self._home.unconfirmed_outcomes(1):
                 await self.store_outcomes_again()
             elif not self._home.unsettled_count():
                 break
             await asyncio.sleep(_DRAIN_STEP_S)
-        unkept = self._home.unkept(self._home.records.records_count)
+        unkept = self._home.unconfirmed_outcomes(self._home.records.records_count)
         return DrainResult(self._home.unsettled_count(), len(unkept))
 
     async def stop(self) -> None:
@@ -174,7 +174,7 @@
         except Exception:
             _log.exception("keyed_dispatch_failed", route=request.route)
         finally:
-            settled = self._home.on_executed(key, answer)
+            settled = self._home.on_result(key, answer)
             self._settle(key, settled.answer)
 
     def _settle(self, key: IdempotencyKey, answer: Answer) -> None:
@@ -185,19 +185,19 @@
         if pending is not None and not pending.done():
             pending.set_result(answer)
 
-    async def _store_outcome_once(self, settled: SettledKey) -> None:
+    async def _store_outcome_once(self, settled: KeyOutcome) -> None:
         await self._store_outcome(settled)
 
-    async def _store_outcome(self, settled: SettledKey) -> bool:
+    async def _store_outcome(self, settled: KeyOutcome) -> bool:
         witness = settled.key.prefix.witness
         if witness is None:
             return True
-        body = KeepOutcome(settled.key, settled.binding, settled.answer)
+        body = StoreOutcome(settled.key, settled.binding, settled.answer)
         asked = await self._network.ask(witness.instance, body, Acknowledged, _STORE_TIMEOUT_S)
         if isinstance(asked, Ok):
-            self._home.on_kept(settled.key)
+            self._home.on_outcome_confirmed(settled.key)
             return True
-        self._home.on_not_kept(settled.key)
+        self._home.on_outcome_send_failed(settled.key)
         return False
 
     def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
--- a/src/egretrail/runtime/_keyed_receiver.py
+++ b/src/egretrail/runtime/_keyed_receiver.py
@@ -14,7 +14,7 @@
     AwaitKeyed,
     IdempotencyKey,
     KeyedReply,
-    KeyStanding,
+    KeyStatus,
     QueryWitness,
     RelayKeyed,
     RunKeyed,
@@ -72,7 +72,7 @@
         reply = await self._ask_home(key, binding, request, until_s)
         if reply is not None and reply.answer is not None:
             return await self._complete_answer(key, binding, reply.answer)
-        if reply is not None and reply.standing is KeyStanding.RUNNING:
+        if reply is not None and reply.standing is KeyStatus.RUNNING:
             return STILL_RUNNING
         home_ended = reply is not None
         return await self._ask_witness(key, binding, until_s, home_ended)
@@ -95,7 +95,7 @@
             if not isinstance(asked, Ok):
                 return None
             reply = asked.ok_value
-            if reply.standing is not KeyStanding.RUNNING or _has_passed(until_s):
+            if reply.standing is not KeyStatus.RUNNING or _has_passed(until_s):
                 return reply
             body = AwaitKeyed(key, binding)
 
@@ -122,7 +122,7 @@
                 return HOME_UNREACHABLE
             if reply.answer is not None:
                 return reply.answer
-            if reply.standing is KeyStanding.NOT_HERE:
+            if reply.standing is KeyStatus.NOT_HERE:
                 return unknown
             if _has_passed(until_s):
                 return STILL_RUNNING
--- a/src/egretrail/runtime/_keyed_witness.py
+++ b/src/egretrail/runtime/_keyed_witness.py
@@ -12,13 +12,13 @@
     CloseGeneration,
     GenerationOpened,
     IdempotencyKey,
-    KeepOutcome,
     KeyedReply,
-    KeyStanding,
+    KeyStatus,
     OpenGeneration,
     QueryWitness,
     RecordKey,
     RecordReply,
+    StoreOutcome,
     Witness,
 )
 from egretrail.identity import Incarnation
@@ -43,7 +43,7 @@
         """Start handling messages of homes and receivers."""
         self._network.on(OpenGeneration, self._on_open)
         self._network.on(RecordKey, self._on_record)
-        self._network.on(KeepOutcome, self._on_outcome)
+        self._network.on(StoreOutcome, self._on_outcome)
         self._network.on(CloseGeneration, self._on_close)
         self._network.on(QueryWitness, self._on_query)
 
@@ -58,22 +58,22 @@
         witness therefore asks the home before it replies that the outcome is unknown.
         """
         if key.prefix.witness != self._own:
-            return KeyedReply(KeyStanding.NOT_HERE)
+            return KeyedReply(KeyStatus.NOT_HERE)
         answer = self._witness.on_query(key, binding)
         if answer is not None:
-            return KeyedReply(KeyStanding.ANSWERED, answer)
+            return KeyedReply(KeyStatus.ANSWERED, answer)
         body = AwaitKeyed(key, binding)
         home = key.prefix.home.instance
         asked = await self._network.ask(home, body, KeyedReply, HOME_TIMEOUT_S)
-        if isinstance(asked, Ok) and asked.ok_value.standing is KeyStanding.RUNNING:
+        if isinstance(asked, Ok) and asked.ok_value.standing is KeyStatus.RUNNING:
             return asked.ok_value
         if isinstance(asked, Ok) and asked.ok_value.answer not in (None, KEY_REUSED):
             self._record_outcome(key, binding, asked.ok_value.answer)
-        home_ended = isinstance(asked, Ok) and asked.ok_value.standing is KeyStanding.NOT_HERE
+        home_ended = isinstance(asked, Ok) and asked.ok_value.standing is KeyStatus.NOT_HERE
         # The home may have sent the outcome in the meantime.
         answer = self._witness.on_query(key, binding)
         return KeyedReply(
-            KeyStanding.ANSWERED, answer or (RECORD_LOST if home_ended else HOME_UNREACHABLE)
+            KeyStatus.ANSWERED, answer or (RECORD_LOST if home_ended else HOME_UNREACHABLE)
         )
 
     def _record_outcome(self, key: IdempotencyKey, binding: bytes, answer: Answer | None) -> None:
@@ -89,7 +89,7 @@
     async def _on_record(self, sender: Incarnation, body: RecordKey) -> RecordReply:
         return RecordReply(self._witness.on_record(sender, body.key, body.binding))
 
-    async def _on_outcome(self, sender: Incarnation, body: KeepOutcome) -> Acknowledged:
+    async def _on_outcome(self, sender: Incarnation, body: StoreOutcome) -> Acknowledged:
         self._witness.on_outcome(sender, body.key, body.binding, body.answer)
         return Acknowledged()
 
--- a/src/egretrail/runtime/_report.py
+++ b/src/egretrail/runtime/_report.py
@@ -10,10 +10,10 @@
 from egretrail.peer import PeerNetwork
 from egretrail.report import (
     BurnRecorder,
+    FetchReport,
     FleetReport,
     InstanceReport,
     Objective,
-    ReportAsk,
     summarise,
 )
 from egretrail.wire import Message
@@ -42,7 +42,7 @@
         self._view = view
         self._settings_revision = settings_revision
         self._objectives = objectives
-        network.on(ReportAsk, self._on_report_ask)
+        network.on(FetchReport, self._on_report_ask)
 
     async def gather(self) -> FleetReport:
         """Ask every known instance; return all counts, and the instances that did not reply."""
@@ -58,11 +58,11 @@
     async def _ask(self, member: Member, slots: asyncio.Semaphore) -> InstanceReport | None:
         async with slots:
             reply = await self._network.ask(
-                InstanceName(member.name), ReportAsk(), InstanceReport, _REPLY_TIMEOUT_S
+                InstanceName(member.name), FetchReport(), InstanceReport, _REPLY_TIMEOUT_S
             )
         return reply.ok_value if isinstance(reply, Ok) else None
 
-    async def _on_report_ask(self, _sender: Incarnation, _ask: ReportAsk) -> Message:
+    async def _on_report_ask(self, _sender: Incarnation, _ask: FetchReport) -> Message:
         return self._own_report()
 
     def _own_report(self) -> InstanceReport:
--- a/src/egretrail/runtime/_settings.py
+++ b/src/egretrail/runtime/_settings.py
@@ -27,7 +27,7 @@
     SettingsFault,
     SettingsRefusal,
     StoreBehind,
-    is_watcher,
+    is_store_watcher,
 )
 from egretrail.store import Store
 
@@ -287,7 +287,7 @@
     def _watches(self) -> bool:
         zones = {member.name: member.availability_zone for member in self._peers.others()}
         zones[self._own.instance] = self._view.own.availability_zone
-        return is_watcher(self._own.instance, zones)
+        return is_store_watcher(self._own.instance, zones)
 
     def _jittered(self, interval_s: float) -> float:
         return interval_s * self._rng.uniform(0.5, 1.5)
--- a/src/egretrail/runtime/_settings_http.py
+++ b/src/egretrail/runtime/_settings_http.py
@@ -14,13 +14,13 @@
 from egretrail.settings import (
     TEXT_LIMIT_BYTES,
     Accepted,
+    ChangeRecord,
     InvalidSettings,
     OperatorTokens,
-    Revised,
     SettingPath,
     SettingsFault,
     SettingsRefusal,
-    StoreOut,
+    StoreUnreachable,
 )
 
 #: Probes and scrapes carry no token.
@@ -111,13 +111,15 @@
             return
         stored = await self._driver.read(path.ok_value)
         held = self._driver.catalogue.held(str(path.ok_value))
-        if isinstance(stored, Err) and (held is None or not isinstance(stored.err_value, StoreOut)):
+        if isinstance(stored, Err) and (
+            held is None or not isinstance(stored.err_value, StoreUnreachable)
+        ):
             settings_problem(stored.err_value).write_to(resp)
             return
         latest = None
         if isinstance(stored, Ok):
             envelope = stored.ok_value.envelope
-            latest = envelope.latest if envelope is not None else Revised("", "", 0.0, None)
+            latest = envelope.latest if envelope is not None else ChangeRecord("", "", 0.0, None)
         in_force = None if held is None else {"generation": held.generation, "text": held.text}
         resp.media = {
             "path": str(path.ok_value),
@@ -237,7 +239,7 @@
         resp.media = {"generation": generation, **dataclasses.asdict(found)}
 
 
-def _changes(stored: StoredSetting) -> list[Revised]:
+def _changes(stored: StoredSetting) -> list[ChangeRecord]:
     if stored.envelope is None:
         return []
     latest = dataclasses.replace(stored.envelope.latest, revision=stored.revision)
--- a/src/egretrail/runtime/_settings_peers.py
+++ b/src/egretrail/runtime/_settings_peers.py
@@ -14,11 +14,11 @@
 from egretrail.runtime._settings_state import SettingsState
 from egretrail.settings import (
     BUCKETS,
-    AskInForce,
     ChangeRun,
     CompareSettings,
-    DifferSettings,
+    FetchDifference,
     InForceReply,
+    QueryInForce,
     SettingChange,
     SettingsCompared,
     SettingsDifference,
@@ -70,8 +70,8 @@
         """Start handling messages of peers."""
         self._network.on(SettingsRun, self._on_run)
         self._network.on(CompareSettings, self._on_compare)
-        self._network.on(DifferSettings, self._on_differ)
-        self._network.on(AskInForce, self._on_ask_in_force)
+        self._network.on(FetchDifference, self._on_differ)
+        self._network.on(QueryInForce, self._on_ask_in_force)
 
     async def stop(self) -> None:
         """Cancel running comparisons."""
@@ -136,7 +136,7 @@
 
         async def ask(name: InstanceName) -> None:
             async with semaphore:
-                request = AskInForce(path, generation)
+                request = QueryInForce(path, generation)
                 timeout_s = self._policy.ask_timeout_s
                 answer = await self._network.ask(name, request, InForceReply, timeout_s)
             if isinstance(answer, Err):
@@ -169,7 +169,7 @@
             if isinstance(answer, Err):
                 return False
             compared = answer.ok_value
-            self._state.catalogue.distrust_upto(compared.lost_upto_revision)
+            self._state.catalogue.record_lost_writes(compared.lost_upto_revision)
             if not compared.buckets:
                 return self._record_agreement(compared, asked_s)
             if len(compared.buckets) != BUCKETS or not await self._pull(peer, compared.buckets):
@@ -195,7 +195,7 @@
     async def _pull(self, peer: InstanceName, theirs: Sequence[int]) -> bool:
         catalogue = self._state.catalogue
         buckets = self._limit_buckets(catalogue.tree.differing(theirs))
-        request = DifferSettings(buckets, catalogue.marks(buckets))
+        request = FetchDifference(buckets, catalogue.marks(buckets))
         timeout_s = self._policy.ask_timeout_s
         answer = await self._network.ask(peer, request, SettingsDifference, timeout_s)
         if isinstance(answer, Err):
@@ -237,7 +237,7 @@
 
     async def _on_compare(self, _: Incarnation, body: CompareSettings) -> Message | None:
         catalogue = self._state.catalogue
-        catalogue.distrust_upto(body.lost_upto_revision)
+        catalogue.record_lost_writes(body.lost_upto_revision)
         same = body.root == catalogue.tree.root
         if same:
             self._state.record_complete_upto(body.complete_revision)
@@ -251,11 +251,11 @@
             confirmed_age_s=None if confirmed_at_s is None else now_s - confirmed_at_s,
         )
 
-    async def _on_differ(self, _: Incarnation, body: DifferSettings) -> Message | None:
+    async def _on_differ(self, _: Incarnation, body: FetchDifference) -> Message | None:
         limit_bytes = self._policy.reply_limit_bytes
         buckets = [number for number in body.buckets if 0 <= number < BUCKETS]
         found = self._state.catalogue.difference(buckets, body.marks, limit_bytes)
         return SettingsDifference(found.changes, found.wanted)
 
-    async def _on_ask_in_force(self, _: Incarnation, body: AskInForce) -> Message | None:
+    async def _on_ask_in_force(self, _: Incarnation, body: QueryInForce) -> Message | None:
         return InForceReply(self._state.catalogue.has_in_force(body.path, body.generation))
--- a/src/egretrail/runtime/_settings_problem.py
+++ b/src/egretrail/runtime/_settings_problem.py
@@ -9,11 +9,11 @@
 
 from egretrail.runtime._problem import PROBLEM_CONTENT_TYPE
 from egretrail.settings import (
+    ConcurrentChange,
     InvalidSettings,
-    LostRace,
     SettingsRefusal,
     StoreBehind,
-    StoreOut,
+    StoreUnreachable,
     WriteUnresolved,
 )
 
@@ -63,7 +63,7 @@
             return OperatorProblem(
                 "invalid-settings", 422, "The settings are not valid", detail, members
             )
-        case LostRace():
+        case ConcurrentChange():
             return OperatorProblem(
                 "lost-race",
                 409,
@@ -71,7 +71,7 @@
                 detail,
                 dataclasses.asdict(refusal),
             )
-        case StoreOut():
+        case StoreUnreachable():
             return OperatorProblem("store-out", 503, "The store cannot be reached", detail)
         case StoreBehind():
             return OperatorProblem(
--- a/src/egretrail/runtime/_settings_reader.py
+++ b/src/egretrail/runtime/_settings_reader.py
@@ -72,7 +72,7 @@
         self._record_success()
         events = answer.ok_value
         if events.revision < known_revision:
-            self._state.catalogue.distrust_upto(known_revision)
+            self._state.catalogue.record_lost_writes(known_revision)
             behind = StoreBehind(events.revision, known_revision, [])
             self._state.record_store_behind(behind, _now_s())
             return False
--- a/src/egretrail/runtime/_settings_writer.py
+++ b/src/egretrail/runtime/_settings_writer.py
@@ -15,11 +15,11 @@
     STORE_PREFIX,
     TEXT_LIMIT_BYTES,
     Accepted,
+    ChangeRecord,
     ChangeRun,
+    ConcurrentChange,
     Envelope,
     InvalidSettings,
-    LostRace,
-    Revised,
     RouteSettings,
     ServiceSettings,
     SettingChange,
@@ -28,7 +28,7 @@
     SettingsFault,
     SettingsRefusal,
     StoreBehind,
-    StoreOut,
+    StoreUnreachable,
     WriteUnresolved,
     change_of,
     decode_envelope,
@@ -82,7 +82,7 @@
         """Read a path and its history from the store."""
         answer = await self._store.get(STORE_PREFIX + str(path))
         if isinstance(answer, Err):
-            return Err(StoreOut(str(path), str(answer.err_value)))
+            return Err(StoreUnreachable(str(path), str(answer.err_value)))
         return Ok(self._stored_setting(path, answer.ok_value))
 
     async def write(
@@ -97,7 +97,7 @@
         parsed = _parsed(path, text, change_id)
         if isinstance(parsed, Err):
             return parsed
-        change = Revised(change_id, author, self._clock(), text)
+        change = ChangeRecord(change_id, author, self._clock(), text)
         stored = await self._read_team(path)
         if isinstance(stored, Err):
             return stored
@@ -122,7 +122,7 @@
         seen_revision = self._state.catalogue.highest_revision
         answer = await self._store.snapshot(f"{STORE_PREFIX}{path.team}/")
         if isinstance(answer, Err):
-            return Err(StoreOut(str(path), str(answer.err_value)))
+            return Err(StoreUnreachable(str(path), str(answer.err_value)))
         snapshot = answer.ok_value
         if snapshot.revision < seen_revision:
             # The store lost writes. It would accept the new text at a revision that instances
@@ -139,7 +139,7 @@
         held = self._state.catalogue.held(str(path))
         if held is not None and held.text is not None and held.generation > revision:
             # A restored store may hold an older state: operators continue from the value in force.
-            latest = Revised(held.change_id, "", 0.0, held.text)
+            latest = ChangeRecord(held.change_id, "", 0.0, held.text)
             return StoredSetting(str(path), held.generation, revision, Envelope(latest))
         if entry is None or entry.value is None:
             return StoredSetting(str(path), 0, 0, None)
@@ -158,7 +158,7 @@
         return InvalidSettings(str(path), faults) if faults else None
 
     async def _swap(
-        self, path: SettingPath, stored: StoredSetting, change: Revised
+        self, path: SettingPath, stored: StoredSetting, change: ChangeRecord
     ) -> Result[Accepted, SettingsRefusal]:
         """Write until the outcome is known, or the attempts are used up.
 
@@ -175,7 +175,7 @@
             cause = written.err_value
             sent = sent or isinstance(cause, WriteUnknown)
             if not sent and not isinstance(cause, RevisionConflict):
-                return Err(StoreOut(str(path), str(cause)))
+                return Err(StoreUnreachable(str(path), str(cause)))
             found = await self.read(path)
             if isinstance(found, Ok):
                 done = _resolved(path, found.ok_value, change)
@@ -186,7 +186,9 @@
             await asyncio.sleep(_RETRY_PAUSE_S)
         return Err(WriteUnresolved(str(path), change.change_id, str(cause)))
 
-    async def _apply_accepted(self, path: SettingPath, change: Revised, done: Accepted) -> Accepted:
+    async def _apply_accepted(
+        self, path: SettingPath, change: ChangeRecord, done: Accepted
+    ) -> Accepted:
         """Apply an accepted change here, spread it to peers, and check for conflicts."""
         accepted = SettingChange(str(path), done.revision, change.change_id, change.text)
         self._state.apply([accepted])
@@ -201,7 +203,7 @@
         conflicts = await self._conflicts(path, change)
         return replace(done, conflicts=conflicts)
 
-    async def _conflicts(self, path: SettingPath, change: Revised) -> Sequence[SettingsFault]:
+    async def _conflicts(self, path: SettingPath, change: ChangeRecord) -> Sequence[SettingsFault]:
         deletes_service = change.text is None and path.kind is SettingKind.SERVICE
         if not deletes_service and (change.text is None or path.kind is SettingKind.SERVICE):
             return []
@@ -222,14 +224,14 @@
     return Ok(None) if text is None else parse_setting(path, text)
 
 
-def _with_change(stored: StoredSetting, change: Revised) -> Envelope:
+def _with_change(stored: StoredSetting, change: ChangeRecord) -> Envelope:
     if stored.envelope is None:
         return Envelope(change)
     return stored.envelope.with_change(change, stored.revision)
 
 
 def _resolved(
-    path: SettingPath, stored: StoredSetting, change: Revised
+    path: SettingPath, stored: StoredSetting, change: ChangeRecord
 ) -> Result[Accepted, SettingsRefusal] | None:
     """Return the outcome of a change that is in the path's history; None if it is not there."""
     if stored.envelope is None:
@@ -244,7 +246,7 @@
 
 
 def _lost_race(
-    path: SettingPath, expected: int, stored: StoredSetting, change: Revised
-) -> LostRace:
-    theirs = Revised("", "", 0.0, None) if stored.envelope is None else stored.envelope.latest
-    return LostRace(str(path), expected, stored.visible_revision, change, theirs)
+    path: SettingPath, expected: int, stored: StoredSetting, change: ChangeRecord
+) -> ConcurrentChange:
+    theirs = ChangeRecord("", "", 0.0, None) if stored.envelope is None else stored.envelope.latest
+    return ConcurrentChange(str(path), expected, stored.visible_revision, change, theirs)
--- a/src/egretrail/runtime/tests/test_keyed_executor.py
+++ b/src/egretrail/runtime/tests/test_keyed_executor.py
@@ -182,7 +182,7 @@
             for _ in range(100):
                 expected = fleet.processes[home].executor.own_prefix()
                 self.assertEqual(expected, await asker.prefix_for(home))
-            self.assertEqual(1, fleet.network.delivered["AskPrefix"])
+            self.assertEqual(1, fleet.network.delivered["FetchPrefix"])
 
         self.run_fleet(test)
 
--- a/src/egretrail/runtime/tests/test_settings.py
+++ b/src/egretrail/runtime/tests/test_settings.py
@@ -12,7 +12,13 @@
     SettingsFleet,
     floor_of,
 )
-from egretrail.settings import LostRace, SettingPath, StoreBehind, StoreOut, WriteUnresolved
+from egretrail.settings import (
+    ConcurrentChange,
+    SettingPath,
+    StoreBehind,
+    StoreUnreachable,
+    WriteUnresolved,
+)
 from egretrail.testing import EgretrailTestCase, FakeStore, cases
 
 _OTHER = SettingPath.parse("t/services/b").unwrap()
@@ -114,7 +120,7 @@
             fleet.store.lose_replies = 1
 
             async def outage(name: str) -> Ok[None]:
-                return Err(StoreOut(name, "out"))  # type: ignore[return-value]
+                return Err(StoreUnreachable(name, "out"))  # type: ignore[return-value]
 
             get = fleet.store.get
             fleet.store.get = outage  # type: ignore[method-assign,assignment]
@@ -138,7 +144,7 @@
                 other.put(SERVICE, "floor = 3", 1, "change-three", "bob"),
             )
             (lost,) = [a.err_value for a in answers if isinstance(a, Err)]
-            assert isinstance(lost, LostRace)
+            assert isinstance(lost, ConcurrentChange)
             texts = {lost.yours.text, lost.theirs.text}
             self.assertEqual({"floor = 2", "floor = 3"}, texts)
             self.assertEqual((1, 2), (lost.expected_revision, lost.actual_revision))
@@ -153,7 +159,7 @@
             await asyncio.sleep(2 * 3600.0)
             answer = await fleet.first_driver().put(SERVICE, "floor = 2", 1, "change-two", "t")
             assert isinstance(answer, Err)
-            self.assertIsInstance(answer.err_value, StoreOut)
+            self.assertIsInstance(answer.err_value, StoreUnreachable)
             self.assertEqual({1}, set(fleet.floors().values()))
             fleet.store.set_out(False)
             await fleet.put_floor(3)
--- a/src/egretrail/settings/_acceptance.py
+++ b/src/egretrail/settings/_acceptance.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from egretrail.settings._catalogue import StoreBehind
-from egretrail.settings._envelope import Revised
+from egretrail.settings._envelope import ChangeRecord
 from egretrail.settings._errors import InvalidSettings, SettingsFault
 
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreOut:
+class StoreUnreachable:
     """The store is unreachable: nothing was changed, requests are still served."""
 
     #: The path.
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LostRace:
+class ConcurrentChange:
     """Another operator changed the path first."""
 
     #: The path.
@@ -67,9 +67,9 @@
     #: The revision in the store; 0: absent.
     actual_revision: int
     #: The change that was refused.
-    yours: Revised
+    yours: ChangeRecord
     #: The change that is in the store.
-    theirs: Revised
+    theirs: ChangeRecord
 
     def __str__(self) -> str:
         return (
@@ -78,4 +78,6 @@
         )
 
 
-SettingsRefusal = InvalidSettings | StoreOut | WriteUnresolved | LostRace | StoreBehind
+SettingsRefusal = (
+    InvalidSettings | StoreUnreachable | WriteUnresolved | ConcurrentChange | StoreBehind
+)
--- a/src/egretrail/settings/_catalogue.py
+++ b/src/egretrail/settings/_catalogue.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldMark:
+class ChangeMark:
     """Identifies the change that an instance holds for a live path, without the text."""
 
     #: The path.
@@ -120,7 +120,7 @@
         """Return the revision up to which the store may have lost writes; 0: none known."""
         return self._lost_upto_revision
 
-    def distrust_upto(self, revision: int) -> None:
+    def record_lost_writes(self, revision: int) -> None:
         """Record that the store may have lost writes up to a revision.
 
         A held path at or below this revision is not deleted when a snapshot lacks it. After a store
@@ -192,7 +192,7 @@
             elif outcome is Outcome.OLDER and known_revision <= revision:
                 older.append(change.path)
         if older or revision < asked_at_revision:
-            self.distrust_upto(asked_at_revision)
+            self.record_lost_writes(asked_at_revision)
         present = {change.path for change in changes}
         absent = [c for c in self._held.values() if c.path not in present]
         older += [c.path for c in absent if c.generation <= self._lost_upto_revision]
@@ -222,17 +222,17 @@
             if change.generation <= revision:
                 del self._deleted[path]
 
-    def marks(self, buckets: Iterable[int]) -> Sequence[HeldMark]:
+    def marks(self, buckets: Iterable[int]) -> Sequence[ChangeMark]:
         """Return marks of the changes that are held in some buckets."""
         held = (self._held[path] for number in buckets for path in sorted(self._buckets[number]))
-        return [HeldMark(change.path, change.generation, change.change_id) for change in held]
+        return [ChangeMark(change.path, change.generation, change.change_id) for change in held]
 
     def bucket_size(self, bucket: int) -> int:
         """Return the number of live paths in a bucket."""
         return len(self._buckets[bucket])
 
     def difference(
-        self, buckets: Iterable[int], marks: Sequence[HeldMark], limit_bytes: int
+        self, buckets: Iterable[int], marks: Sequence[ChangeMark], limit_bytes: int
     ) -> Difference:
         """Compare with another instance's marks.
 
--- a/src/egretrail/settings/_envelope.py
+++ b/src/egretrail/settings/_envelope.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Revised:
+class ChangeRecord:
     """One accepted change of a path."""
 
     #: The unique id that the writer gave the change.
@@ -40,11 +40,11 @@
     """A path's latest change and some earlier ones, newest first."""
 
     #: The latest change.
-    latest: Revised
+    latest: ChangeRecord
     #: The changes before it.
-    history: Sequence[Revised] = ()
+    history: Sequence[ChangeRecord] = ()
 
-    def with_change(self, change: Revised, own_revision: int) -> "Envelope":
+    def with_change(self, change: ChangeRecord, own_revision: int) -> "Envelope":
         """Return the envelope with one more change.
 
         ``own_revision`` is the store revision of this envelope, before the change.
@@ -52,7 +52,7 @@
         earlier = (replace(self.latest, revision=own_revision), *self.history)
         return Envelope(change, earlier[:HISTORY_LENGTH])
 
-    def find(self, change_id: str) -> Revised | None:
+    def find(self, change_id: str) -> ChangeRecord | None:
         """Return the change with the given id; None when it is not kept here."""
         found = (item for item in (self.latest, *self.history) if item.change_id == change_id)
         return next(found, None)
@@ -79,7 +79,7 @@
     try:
         return _ADAPTER.validate_json(value)
     except ValidationError:
-        return Envelope(Revised("", "", 0.0, value))
+        return Envelope(ChangeRecord("", "", 0.0, value))
 
 
 def change_of(store_path: str, value: str | None, revision: int) -> SettingChange:
--- a/src/egretrail/settings/_messages.py
+++ b/src/egretrail/settings/_messages.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from egretrail.settings._catalogue import HeldMark
+from egretrail.settings._catalogue import ChangeMark
 from egretrail.settings._change import ChangeRun, SettingChange
 from egretrail.wire import Message, message
 
@@ -49,19 +49,19 @@
 
 @message("settings.differ")
 @dataclass(frozen=True, slots=True)
-class DifferSettings(Message):
+class FetchDifference(Message):
     """Asks for the differing changes of some buckets."""
 
     #: The indexes of the buckets.
     buckets: Sequence[int]
     #: Marks of the changes that the sender holds in these buckets.
-    marks: Sequence[HeldMark]
+    marks: Sequence[ChangeMark]
 
 
 @message("settings.difference")
 @dataclass(frozen=True, slots=True)
 class SettingsDifference(Message):
-    """Reply to ``DifferSettings``: missing changes, up to a size, and paths to send in return."""
+    """Reply to ``FetchDifference``: missing changes, up to a size, and paths to send in return."""
 
     #: Changes that the requesting instance is missing.
     changes: Sequence[SettingChange]
@@ -71,7 +71,7 @@
 
 @message("settings.in-force")
 @dataclass(frozen=True, slots=True)
-class AskInForce(Message):
+class QueryInForce(Message):
     """Asks whether a change is in force on the receiver."""
 
     #: The path.
@@ -83,7 +83,7 @@
 @message("settings.in-force-reply")
 @dataclass(frozen=True, slots=True)
 class InForceReply(Message):
-    """Reply to ``AskInForce``: whether a change, or a later one of its path, is in force."""
+    """Reply to ``QueryInForce``: whether a change, or a later one of its path, is in force."""
 
     #: Whether the change or a later one is in force.
     in_force: bool
--- a/src/egretrail/settings/_watchers.py
+++ b/src/egretrail/settings/_watchers.py
@@ -14,7 +14,7 @@
 _MAX_ZONES_WITH_WATCHER = 16
 
 
-def is_watcher(own: InstanceName, members: Mapping[InstanceName, AvailabilityZone]) -> bool:
+def is_store_watcher(own: InstanceName, members: Mapping[InstanceName, AvailabilityZone]) -> bool:
     """Return whether an instance watches the store.
 
     With few zones each zone has two watchers, otherwise one. Each instance decides from its own
--- a/src/egretrail/settings/tests/test_parsing.py
+++ b/src/egretrail/settings/tests/test_parsing.py
@@ -7,12 +7,12 @@
 
 from egretrail.identity import AvailabilityZone, InstanceName
 from egretrail.settings import (
+    ChangeRecord,
     Envelope,
-    Revised,
     SettingPath,
     change_of,
     decode_envelope,
-    is_watcher,
+    is_store_watcher,
     parse_instance_settings,
     parse_operator_tokens,
     parse_setting,
@@ -144,9 +144,9 @@
 
 class EnvelopeTest(EgretrailTestCase):
     def test_history_is_bounded_in_length_and_size(self) -> None:
-        envelope = Envelope(Revised("change-0", "t", 0.0, "x"))
+        envelope = Envelope(ChangeRecord("change-0", "t", 0.0, "x"))
         for number in range(1, 30):
-            change = Revised(f"change-{number}", "t", 0.0, '"' * 32 * 1024 * 4)
+            change = ChangeRecord(f"change-{number}", "t", 0.0, '"' * 32 * 1024 * 4)
             envelope = envelope.with_change(change, number)
         encoded = envelope.encode()
         self.assertLess(len(encoded), 1_000_000)
@@ -164,4 +164,4 @@
         }
         # In a large fleet all zones are alike, so that checking one zone is enough.
         asked = [name for name, zone in members.items() if size < 99 or zone == "zone-0"]
-        self.assertEqual(expected, sum(is_watcher(name, members) for name in asked))
+        self.assertEqual(expected, sum(is_store_watcher(name, members) for name in asked))
