--- a/src/egretrail/daemon/__init__.py
+++ b/src/egretrail/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The entry instance's process, ``egretraild``: its faces, and how its parts are put together."""
+"""The process of an entry instance, ``egretraild``: its HTTP APIs and its startup."""
 
 from egretrail.daemon._main import main
 from egretrail.daemon._metrics import metrics_page
--- a/src/egretrail/daemon/__main__.py
+++ b/src/egretrail/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon by ``python -m egretrail.daemon``."""
+"""Entry point of ``python -m egretrail.daemon``."""
 
 from egretrail.daemon import main
 
--- a/src/egretrail/daemon/_caller_face.py
+++ b/src/egretrail/daemon/_client_app.py
@@ -1,8 +1,8 @@
-"""What callers speak to: the resolve question, and every other path as a proxied request.
+"""The ASGI application for clients: the resolve endpoint; all other paths are proxied.
 
-Falcon answers the resolve question. Proxied requests are read and answered on the ASGI interface
-itself: Falcon joins repeated header fields and adds a content type, and an upstream's answer has to
-pass unchanged.
+Falcon serves the resolve endpoint. Proxied requests use the ASGI interface directly, because Falcon
+joins repeated header fields and adds a content type, while an upstream's response has to be
+forwarded unchanged.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 
 import falcon.asgi
 
-from egretrail.daemon._requests import IncomingRequest, RequestPath
-from egretrail.daemon._resolve import Resolver
+from egretrail.daemon._request_handler import IncomingRequest, RequestHandler
+from egretrail.daemon._resolver import Resolver
 from egretrail.identity import CallerId
 from egretrail.request import Answer, RecordedAnswer, Refusal
 from egretrail.runtime import (
@@ -27,93 +27,95 @@
 from egretrail.settings import InstanceSettings
 
 RESOLVE_PATH = "/.well-known/egretrail/resolve"
-_OWN_PREFIX = "/.well-known/egretrail/"
-_KEY_HEADER = b"idempotency-key"
-_CALLER_DIGEST_BYTES = 12
+_RESERVED_PREFIX = "/.well-known/egretrail/"
+_IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+_CLIENT_DIGEST_BYTES = 12
 
 _BODY_TOO_LARGE = Problem("body-too-large", 413, "The request's body is larger than the limit")
 _BAD_DEADLINE = Problem("bad-deadline", 400, f"{DEADLINE_HEADER} must be a positive number")
-_REPEATED_KEY = Problem("key-invalid", 400, "A request has one Idempotency-Key")
-_TOO_MANY = Problem("instance-full", 503, "The instance holds too many requests", retry_after_s=1)
+_DUPLICATE_KEY = Problem("key-invalid", 400, "A request has one Idempotency-Key")
+_TOO_MANY_IN_FLIGHT = Problem(
+    "instance-full", 503, "The instance holds too many requests", retry_after_s=1
+)
 
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
 
-class _CallerLeftError(Exception):
-    """The caller closed its connection before its request was whole."""
+class _ClientDisconnectedError(Exception):
+    """The client closed its connection before its request was read or answered."""
 
 
-class CallerFace:
-    """The callers' ASGI application."""
+class ClientApp:
+    """The ASGI application that clients connect to."""
 
     def __init__(
-        self, settings: InstanceSettings, requests: RequestPath, resolver: Resolver
+        self, settings: InstanceSettings, requests: RequestHandler, resolver: Resolver
     ) -> None:
         self._requests = requests
         self._body_limit_bytes = settings.limits.request_body_size_bytes
         self._in_flight_limit = settings.limits.requests_in_flight
         self._identity_header = settings.callers.identity_header.lower().encode()
-        #: What is in flight, for the log of a stop that has to cut it.
+        #: Method and path of each request in flight, logged when a stop has to abort them.
         self.in_flight: dict[int, str] = {}
-        #: Set while the instance is leaving: answers ask callers to close their connection.
-        self.leaving = False
-        self._last_number = 0
-        self._own: Any = falcon.asgi.App()
-        self._own.add_route(RESOLVE_PATH, resolver)
+        #: Set while the instance shuts down: responses ask clients to close their connections.
+        self.is_shutting_down = False
+        self._last_request_number = 0
+        self._reserved_app: Any = falcon.asgi.App()
+        self._reserved_app.add_route(RESOLVE_PATH, resolver)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
-        if scope["path"].startswith(_OWN_PREFIX):
-            await self._own(scope, receive, send)
+        """Serve one ASGI request."""
+        if scope["path"].startswith(_RESERVED_PREFIX):
+            await self._reserved_app(scope, receive, send)
             return
         if len(self.in_flight) >= self._in_flight_limit:
-            return await self._send_problem(send, _TOO_MANY)
-        self._last_number += 1
-        number = self._last_number
+            return await self._send_problem(send, _TOO_MANY_IN_FLIGHT)
+        self._last_request_number += 1
+        number = self._last_request_number
         self.in_flight[number] = f"{scope['method']} {scope['path']}"
         try:
             await self._serve(scope, receive, send)
-        except _CallerLeftError:
+        except _ClientDisconnectedError:
             return
         finally:
             del self.in_flight[number]
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        fields: list[tuple[bytes, bytes]] = scope["headers"]
+        headers: list[tuple[bytes, bytes]] = scope["headers"]
         body = await self._read_body(receive)
-        deadline = _deadline_s(fields)
-        keys = [value for name, value in fields if name == _KEY_HEADER]
+        timeout_s = _parse_timeout(headers)
+        keys = [value for name, value in headers if name == _IDEMPOTENCY_KEY_HEADER]
         if body is None:
             return await self._send_problem(send, _BODY_TOO_LARGE, close=True)
-        if isinstance(deadline, Problem):
-            return await self._send_problem(send, deadline)
+        if isinstance(timeout_s, Problem):
+            return await self._send_problem(send, timeout_s)
         if len(keys) > 1:
-            return await self._send_problem(send, _REPEATED_KEY)
+            return await self._send_problem(send, _DUPLICATE_KEY)
         incoming = IncomingRequest(
             method=scope["method"],
             target=_target(scope),
-            host=_field(fields, b"host").decode("latin-1"),
-            headers=tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in fields),
+            host=_header_value(headers, b"host").decode("latin-1"),
+            headers=tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in headers),
             body=body,
-            caller_id=_caller_id(_field(fields, self._identity_header)),
-            timeout_s=deadline,
+            caller_id=_digest_credential(_header_value(headers, self._identity_header)),
+            timeout_s=timeout_s,
             key=keys[0].decode("latin-1") if keys else None,
         )
         answer = await _until_disconnect(receive, self._requests.handle(incoming))
         if isinstance(answer, RecordedAnswer):
-            return await self._pass_on(send, answer)
+            return await self._forward_response(send, answer)
         problem = problem_from_refusal(answer) if isinstance(answer, Refusal) else answer
         await self._send_problem(send, problem)
 
     async def _read_body(self, receive: Receive) -> bytes | None:
-        """Return the whole body, None when it is larger than the limit."""
+        """Return the complete body, or None if it exceeds the limit."""
         body = b""
         while True:
             event = await receive()
             if event["type"] == "http.disconnect":
-                raise _CallerLeftError
+                raise _ClientDisconnectedError
             body += bytes(event.get("body", b""))
             if len(body) > self._body_limit_bytes:
                 return None
@@ -127,7 +129,7 @@
         headers.append((b"content-length", str(len(body)).encode()))
         await self._send(send, problem.status, headers, body, close)
 
-    async def _pass_on(self, send: Send, answer: RecordedAnswer) -> None:
+    async def _forward_response(self, send: Send, answer: RecordedAnswer) -> None:
         headers = [
             (name.lower().encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers
@@ -145,7 +147,7 @@
         body: bytes,
         close: bool,
     ) -> None:
-        if close or self.leaving:
+        if close or self.is_shutting_down:
             headers.append((b"connection", b"close"))
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
@@ -154,26 +156,26 @@
 async def _until_disconnect(
     receive: Receive, handling: Awaitable[Answer | Problem]
 ) -> Answer | Problem:
-    """Handle a request until it is answered or its caller has gone, which cancels it."""
-    working = asyncio.ensure_future(handling)
-    leaving = asyncio.ensure_future(_disconnected(receive))
+    """Await the handling of a request; cancel it when the client disconnects."""
+    handler = asyncio.ensure_future(handling)
+    disconnect = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
-        await asyncio.wait((working, leaving), return_when=asyncio.FIRST_COMPLETED)
-        if not working.done():
-            raise _CallerLeftError
-        return working.result()
+        await asyncio.wait((handler, disconnect), return_when=asyncio.FIRST_COMPLETED)
+        if not handler.done():
+            raise _ClientDisconnectedError
+        return handler.result()
     finally:
-        leaving.cancel()
-        working.cancel()
+        disconnect.cancel()
+        handler.cancel()
 
 
-async def _disconnected(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
-def _deadline_s(fields: list[tuple[bytes, bytes]]) -> float | Problem | None:
-    text = _field(fields, DEADLINE_HEADER.lower().encode())
+def _parse_timeout(headers: list[tuple[bytes, bytes]]) -> float | Problem | None:
+    text = _header_value(headers, DEADLINE_HEADER.lower().encode())
     if not text:
         return None
     try:
@@ -183,8 +185,8 @@
     return timeout_s if 0 < timeout_s < float("inf") else _BAD_DEADLINE
 
 
-def _field(fields: list[tuple[bytes, bytes]], wanted: bytes) -> bytes:
-    return next((value for name, value in fields if name == wanted), b"")
+def _header_value(headers: list[tuple[bytes, bytes]], wanted: bytes) -> bytes:
+    return next((value for name, value in headers if name == wanted), b"")
 
 
 def _target(scope: Scope) -> str:
@@ -193,5 +195,5 @@
     return f"{path}?{query}" if query else path
 
 
-def _caller_id(credential: bytes) -> CallerId:
-    return CallerId(hashlib.blake2b(credential, digest_size=_CALLER_DIGEST_BYTES).hexdigest())
+def _digest_credential(credential: bytes) -> CallerId:
+    return CallerId(hashlib.blake2b(credential, digest_size=_CLIENT_DIGEST_BYTES).hexdigest())
--- a/src/egretrail/daemon/_execution.py
+++ b/src/egretrail/daemon/_execution.py
@@ -1,4 +1,4 @@
-"""Has an upstream answer a request: performs what the service's scheduler decides."""
+"""Sends requests to upstreams by carrying out the actions of the service's scheduler."""
 
 import asyncio
 import itertools
@@ -63,15 +63,15 @@
     AttemptOutcome.CROSSED: RefusalCause.ANSWER_INVALID,
     AttemptOutcome.TIMED_OUT: RefusalCause.DEADLINE,
 }
-#: Time to come back after a loss: long enough for the upstream to be judged.
-_AFTER_LOSS_S = 1.0
+#: Retry-After when an upstream lost the request: by then its health has been re-evaluated.
+_RETRY_AFTER_LOSS_S = 1.0
 _log = structlog.get_logger()
 _NO_SUCH_SERVICE = Refusal(Outcome.NOT_RUN, RefusalCause.NO_UPSTREAM)
 
 
 @dataclass(slots=True)
-class _Running:
-    """One request from its arrival to its answer."""
+class _RunningRequest:
+    """One request from its arrival to its response."""
 
     state: ServiceState
     envelope: RequestEnvelope
@@ -79,13 +79,13 @@
     idempotent: bool
     digest: int
     deadline_s: float
-    answer: asyncio.Future[Answer]
+    response: asyncio.Future[Answer]
     tasks: dict[UpstreamName, asyncio.Task[None]] = field(default_factory=dict)
     results: dict[UpstreamName, UpstreamResult] = field(default_factory=dict)
 
 
 class Executor(LocalExecution):
-    """Performs the schedulers' decisions, one task for each attempt."""
+    """Carries out the schedulers' actions, with one task for each attempt."""
 
     def __init__(
         self,
@@ -102,12 +102,12 @@
         self._client = client
         self._accounting = accounting
         self._prefix = request_id_prefix
-        self._serial = itertools.count(1)
-        self._running: dict[WorkId, _Running] = {}
-        self._wakeups: dict[str, asyncio.TimerHandle] = {}
+        self._request_numbers = itertools.count(1)
+        self._running: dict[WorkId, _RunningRequest] = {}
+        self._wakeup_timers: dict[str, asyncio.TimerHandle] = {}
 
     async def execute(self, request: RequestEnvelope, route: RouteSettings) -> Answer:
-        """Queue, place and send a request; return the answer or a truthful refusal."""
+        """Queue, place and send a request; return the response or a refusal with its outcome."""
         state = self._services.get(request.service)
         if state is None:
             return _NO_SUCH_SERVICE
@@ -115,7 +115,7 @@
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         digest = request_digest(request)
-        work_id = WorkId(f"{self._prefix}-{next(self._serial):x}")
+        work_id = WorkId(f"{self._prefix}-{next(self._request_numbers):x}")
         idempotent = request.method in route.idempotent_methods
         work = Work(
             work_id=work_id,
@@ -129,7 +129,7 @@
             digest=digest,
             hedge=route.hedge,
         )
-        running = _Running(
+        running = _RunningRequest(
             state,
             request,
             route,
@@ -140,35 +140,37 @@
         )
         self._running[work_id] = running
         try:
-            self._perform(state, state.scheduler.submit(work, now_s))
-            return await running.answer
+            self._apply_actions(state, state.scheduler.submit(work, now_s))
+            return await running.response
         except asyncio.CancelledError:
-            self._perform(state, state.scheduler.cancel(work_id, loop.time()))
+            self._apply_actions(state, state.scheduler.cancel(work_id, loop.time()))
             raise
         finally:
             del self._running[work_id]
 
-    def _perform(self, state: ServiceState, actions: Sequence[Action]) -> None:
+    def _apply_actions(self, state: ServiceState, actions: Sequence[Action]) -> None:
         for action in actions:
             running = self._running.get(action.work_id)
             if running is None:
                 continue
             match action:
                 case Dispatch() | Hedge():
-                    attempt = self._attempt(running, action.work_id, action.upstream)
+                    attempt = self._run_attempt(running, action.work_id, action.upstream)
                     task = asyncio.get_running_loop().create_task(attempt)
                     running.tasks[action.upstream] = task
                 case Finish():
-                    _settle(running, _answer_of(running.results[action.upstream]))
+                    _resolve(running, _final_response(running.results[action.upstream]))
                 case Abandon():
                     running.tasks[action.upstream].cancel()
                 case Refuse():
-                    _settle(running, self._refusal_of(running, action.refusal))
+                    _resolve(running, self._to_client_refusal(running, action.refusal))
                 case _:
                     assert_never(action)
         self._set_wakeup(state)
 
-    async def _attempt(self, running: _Running, work_id: WorkId, upstream: UpstreamName) -> None:
+    async def _run_attempt(
+        self, running: _RunningRequest, work_id: WorkId, upstream: UpstreamName
+    ) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         state = running.state
@@ -190,24 +192,24 @@
                 answer_size_bytes=len(result.body),
                 idempotent=running.idempotent,
             )
-            self._accounting.attempted(state.name, upstream, result.outcome, started_s)
+            self._accounting.record_attempt(state.name, upstream, result.outcome, started_s)
             if result.outcome is AttemptOutcome.DRAINING:
                 self._source.record_drain(state.name, upstream)
             await self._evidence.record_attempt_end(state.name, ticket, attempt)
             if result.outcome is not AttemptOutcome.ANSWERED:
-                state.trouble()
-            ended = state.scheduler.record_attempt_end(
+                state.invalidate_verdicts()
+            actions = state.scheduler.record_attempt_end(
                 work_id, upstream, ATTEMPT_RESULTS[result.outcome], loop.time()
             )
-            self._perform(state, ended)
+            self._apply_actions(state, actions)
 
     async def _send(
-        self, running: _Running, work_id: WorkId, upstream: UpstreamName
+        self, running: _RunningRequest, work_id: WorkId, upstream: UpstreamName
     ) -> UpstreamResult:
         state = running.state
         endpoint = state.endpoint(upstream)
-        left_s = running.deadline_s - asyncio.get_running_loop().time()
-        if endpoint is None or left_s <= 0:
+        remaining_s = running.deadline_s - asyncio.get_running_loop().time()
+        if endpoint is None or remaining_s <= 0:
             return UpstreamResult(AttemptOutcome.REFUSED)
         envelope = running.envelope
         request = UpstreamRequest(
@@ -219,42 +221,42 @@
             echo_header=state.settings.echo_header,
             may_reuse_connection=running.idempotent,
         )
-        return await self._client.attempt(endpoint, request, left_s)
+        return await self._client.attempt(endpoint, request, remaining_s)
 
-    def _refusal_of(self, running: _Running, refusal: SchedulerRefusal) -> Refusal:
-        """Return what the caller is told; after an attempt that may have run, that it may have."""
-        maybe_run = any(not result.certainly_not_run for result in running.results.values())
-        outcome = Outcome.UNKNOWN if maybe_run else Outcome.NOT_RUN
+    def _to_client_refusal(self, running: _RunningRequest, refusal: SchedulerRefusal) -> Refusal:
+        """Return the refusal for the client; its outcome is UNKNOWN if an attempt may have run."""
+        may_have_run = any(not result.certainly_not_run for result in running.results.values())
+        outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
         cause = _CAUSES[type(refusal)]
         _log.debug("refused", service=running.state.name, cause=cause.value, why=str(refusal))
         return Refusal(outcome, cause, refusal.retry_after_s)
 
     def _set_wakeup(self, state: ServiceState) -> None:
-        at_s = state.scheduler.next_wakeup_s()
-        held = self._wakeups.pop(state.name, None)
-        if held is not None:
-            held.cancel()
-        if at_s is not None:
+        wakeup_s = state.scheduler.next_wakeup_s()
+        timer = self._wakeup_timers.pop(state.name, None)
+        if timer is not None:
+            timer.cancel()
+        if wakeup_s is not None:
             loop = asyncio.get_running_loop()
-            self._wakeups[state.name] = loop.call_at(at_s, self._wake, state)
+            self._wakeup_timers[state.name] = loop.call_at(wakeup_s, self._run_scheduler, state)
 
-    def _wake(self, state: ServiceState) -> None:
-        self._wakeups.pop(state.name, None)
-        self._perform(state, state.scheduler.tick(asyncio.get_running_loop().time()))
+    def _run_scheduler(self, state: ServiceState) -> None:
+        self._wakeup_timers.pop(state.name, None)
+        self._apply_actions(state, state.scheduler.tick(asyncio.get_running_loop().time()))
 
 
-def _settle(running: _Running, answer: Answer) -> None:
-    if not running.answer.done():
-        running.answer.set_result(answer)
+def _resolve(running: _RunningRequest, response: Answer) -> None:
+    if not running.response.done():
+        running.response.set_result(response)
 
 
-def _answer_of(result: UpstreamResult) -> Answer:
-    """Return what the caller is told of the attempt that ends its request."""
+def _final_response(result: UpstreamResult) -> Answer:
+    """Return the client's response for the attempt that ends the request."""
     if result.too_large:
         return Refusal(Outcome.RAN, RefusalCause.ANSWER_TOO_LARGE)
     if result.outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.FAILED):
         return RecordedAnswer(result.status, result.headers, result.body)
     if result.certainly_not_run:
-        return Refusal(Outcome.NOT_RUN, RefusalCause.UPSTREAMS_DECLINED, _AFTER_LOSS_S)
+        return Refusal(Outcome.NOT_RUN, RefusalCause.UPSTREAMS_DECLINED, _RETRY_AFTER_LOSS_S)
     cause = _FAILURE_CAUSES.get(result.outcome, RefusalCause.UPSTREAM_LOST)
-    return Refusal(Outcome.UNKNOWN, cause, _AFTER_LOSS_S)
+    return Refusal(Outcome.UNKNOWN, cause, _RETRY_AFTER_LOSS_S)
--- a/src/egretrail/daemon/_floors.py
+++ b/src/egretrail/daemon/_floor_source.py
@@ -1,4 +1,4 @@
-"""What the ejection rights are counted from: settings in force and the upstreams' directory."""
+"""The input for counting ejection rights: settings in force and the listed upstreams."""
 
 from collections.abc import Callable, Sequence
 
@@ -7,8 +7,8 @@
 from egretrail.runtime import FloorSource, UpstreamListDriver
 
 
-class SettingsFloors(FloorSource):
-    """Floors out of the settings, capacity out of the directory."""
+class SettingsFloorSource(FloorSource):
+    """Takes floors from the settings and capacity from the upstream list."""
 
     def __init__(
         self,
@@ -25,9 +25,9 @@
         return self._services()
 
     def floor(self, service: ServiceName) -> int:
-        """Return the fewest healthy upstreams that ejections may leave."""
+        """Return the minimum number of healthy upstreams that ejections must leave."""
         settings = self._routing.service(service)
-        # Without settings nothing may be ejected: the floor is everything there is.
+        # Without settings nothing may be ejected: the floor is the number of listed upstreams.
         return settings.floor if settings is not None else len(self._source.names(service))
 
     def capacity(self, service: ServiceName) -> Sequence[UpstreamName]:
--- a/src/egretrail/daemon/_http_server.py
+++ b/src/egretrail/daemon/_http_server.py
@@ -1,4 +1,4 @@
-"""One uvicorn server for each face, on the daemon's loop and without its signal handlers."""
+"""Runs uvicorn servers on the daemon's event loop, without uvicorn's signal handlers."""
 
 import asyncio
 import contextlib
@@ -9,32 +9,32 @@
 import uvicorn
 
 
-class _QuietServer(uvicorn.Server):
-    """Leaves signals to the daemon."""
+class _SignalFreeServer(uvicorn.Server):
+    """A uvicorn server that does not handle signals."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Do nothing: the daemon decides what a signal means."""
+        """Install no handlers: the daemon handles signals itself."""
         yield
 
 
 class HttpServer:
-    """Listens on one address from the start, and serves an ASGI application once there is one."""
+    """Listens on one address from construction; serves an ASGI application after ``start``."""
 
     def __init__(self, host: str, port: int) -> None:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.create_server((host, port), family=family, backlog=1024)
-        self._server: _QuietServer | None = None
+        self._server: _SignalFreeServer | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the TCP port of the listener, also when port 0 was requested."""
         port: int = self._socket.getsockname()[1]
         return port
 
     def start(self, app: Any) -> None:
-        """Begin to take connections and have ``app`` answer them."""
+        """Begin to accept connections and serve them with ``app``."""
         config = uvicorn.Config(
             app,
             loop="asyncio",
@@ -49,12 +49,12 @@
             timeout_keep_alive=75,
             h11_max_incomplete_event_size=1 << 16,
         )
-        self._server = _QuietServer(config)
-        serving = self._server.serve(sockets=[self._socket])
-        self._task = asyncio.get_running_loop().create_task(serving)
+        self._server = _SignalFreeServer(config)
+        serve = self._server.serve(sockets=[self._socket])
+        self._task = asyncio.get_running_loop().create_task(serve)
 
     async def stop(self) -> None:
-        """Stop taking connections and wait until the requests in flight have ended."""
+        """Stop accepting connections and wait until the requests in flight have ended."""
         if self._server is None or self._task is None:
             self._socket.close()
             return
--- a/src/egretrail/daemon/_interfaces.py
+++ b/src/egretrail/daemon/_interfaces.py
@@ -1,4 +1,4 @@
-"""What the request path asks of the drivers."""
+"""Interfaces that request handling requires of the drivers."""
 
 import abc
 
@@ -11,29 +11,29 @@
 
 
 class Routing(abc.ABC):
-    """Finds routes in the settings in force."""
+    """Looks up routes and services in the settings in force."""
 
     @property
     @abc.abstractmethod
     def caught_up(self) -> bool:
-        """Return whether requests may be served by what is held."""
+        """Return whether the settings held are recent enough to serve requests."""
 
     @abc.abstractmethod
     def match(self, host: str, path: str, method: str) -> Result[RouteMatch | None, UnsafePath]:
-        """Return the route of a request; None when there is none."""
+        """Return the route that matches a request, None if there is none."""
 
     @abc.abstractmethod
     def route(self, name: RouteName) -> RouteSettings | None:
-        """Return the settings of a route in force here."""
+        """Return the settings of a route in force here, None if there is no such route."""
 
     @abc.abstractmethod
     def service(self, name: ServiceName) -> ServiceSettings | None:
-        """Return the settings of a service in force here."""
+        """Return the settings of a service in force here, None if there is no such service."""
 
 
 class LocalExecution(abc.ABC):
-    """Has an upstream answer a request, from this instance."""
+    """Sends requests to upstreams from this instance."""
 
     @abc.abstractmethod
     async def execute(self, request: RequestEnvelope, route: RouteSettings) -> Answer:
-        """Queue, place and send a request; return the answer or a truthful refusal."""
+        """Queue, place and send a request; return the response or a refusal with its outcome."""
--- a/src/egretrail/daemon/_log.py
+++ b/src/egretrail/daemon/_log.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, on standard error."""
+"""Log configuration: each event is one line of key=value pairs on standard error."""
 
 import logging
 import sys
@@ -7,7 +7,7 @@
 
 
 def configure_log(level: str) -> None:
-    """Send every event of at least ``level`` to standard error."""
+    """Write events of ``level`` or above to standard error."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
--- a/src/egretrail/daemon/_main.py
+++ b/src/egretrail/daemon/_main.py
@@ -20,7 +20,7 @@
     parse_operator_tokens,
 )
 
-_LEAST_KEY_BYTES = 16
+_MIN_KEY_BYTES = 16
 
 
 @click.command()
@@ -39,29 +39,30 @@
     ends when nothing is in flight. A second signal, or stop.deadline_s, ends it at once and lists
     what was cut. Exit codes: 0 stopped, 1 requests were cut, 2 invalid settings.
     """
-    read = _read(settings_file)
-    if isinstance(read, Err):
-        click.echo(str(read.err_value), err=True)
+    result = _read_files(settings_file)
+    if isinstance(result, Err):
+        click.echo(str(result.err_value), err=True)
         sys.exit(2)
-    files = read.ok_value
+    files = result.ok_value
     if check:
         click.echo(f"{settings_file}: valid")
         return
     configure_log(files.settings.log.level)
-    cut = asyncio.run(_run(files))
-    sys.exit(1 if cut else 0)
+    aborted = asyncio.run(_run(files))
+    sys.exit(1 if aborted else 0)
 
 
 @dataclass(frozen=True, slots=True)
-class _Files:
-    #: What the instance's files hold.
+class _StartupFiles:
+    """The contents of the files that an instance reads at start."""
+
     settings: InstanceSettings
     fleet_key: bytes
     tokens: OperatorTokens | None
 
 
-def _read(path: Path) -> Result[_Files, InvalidSettings]:
-    """Read the settings and the files they name; the failure lists every fault of one file."""
+def _read_files(path: Path) -> Result[_StartupFiles, InvalidSettings]:
+    """Read the settings and the files that they name; an error lists all faults of one file."""
     try:
         parsed = parse_instance_settings(path.read_text(), str(path))
     except (OSError, UnicodeDecodeError) as error:
@@ -73,20 +74,20 @@
         fleet_key = Path(settings.fleet_key_file).read_bytes().strip()
     except OSError as error:
         return Err(InvalidSettings(str(path), [SettingsFault("fleet_key_file", str(error))]))
-    if len(fleet_key) < _LEAST_KEY_BYTES:
-        reason = f"the file holds {len(fleet_key)} bytes, fewer than {_LEAST_KEY_BYTES}"
+    if len(fleet_key) < _MIN_KEY_BYTES:
+        reason = f"the file holds {len(fleet_key)} bytes, fewer than {_MIN_KEY_BYTES}"
         return Err(InvalidSettings(str(path), [SettingsFault("fleet_key_file", reason)]))
     if settings.operator_tokens_file is None:
-        return Ok(_Files(settings, fleet_key, None))
+        return Ok(_StartupFiles(settings, fleet_key, None))
     try:
         text = Path(settings.operator_tokens_file).read_text()
     except (OSError, UnicodeDecodeError) as error:
         return Err(InvalidSettings(str(path), [SettingsFault("operator_tokens_file", str(error))]))
     tokens = parse_operator_tokens(text, settings.operator_tokens_file)
-    return tokens.map(lambda held: _Files(settings, fleet_key, held))
+    return tokens.map(lambda parsed_tokens: _StartupFiles(settings, fleet_key, parsed_tokens))
 
 
-async def _run(files: _Files) -> bool:
+async def _run(files: _StartupFiles) -> bool:
     daemon = Daemon(files.settings, files.fleet_key, files.tokens)
     try:
         return await daemon.run()
--- a/src/egretrail/daemon/_metrics.py
+++ b/src/egretrail/daemon/_metrics.py
@@ -1,13 +1,13 @@
-"""The instance's metrics, each with the labels that an operator can act on."""
+"""The Prometheus metrics of an instance."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, ProcessCollector
 
-#: From an answer out of a cache to one that a patient caller still waits for.
+#: From a response out of a cache (5 ms) to the longest that clients usually wait for (10 s).
 _BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
 
 class Metrics:
-    """One registry for each instance, so that tests can hold several."""
+    """Metrics in a registry of their own, so that tests can run several instances in a process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -91,7 +91,7 @@
 
 
 def metrics_page() -> str:
-    """Return ``docs/metrics.md``: every metric of the instance itself, with its labels."""
+    """Return the text of ``docs/metrics.md``: each metric of this module with its labels."""
     lines = [
         "# Metrics",
         "",
@@ -101,8 +101,8 @@
         "| metric | kind | labels | meaning |",
         "| --- | --- | --- | --- |",
     ]
-    held = vars(Metrics()).values()
-    for metric in (one for one in held if isinstance(one, Counter | Gauge | Histogram)):
+    attributes = vars(Metrics()).values()
+    for metric in (item for item in attributes if isinstance(item, Counter | Gauge | Histogram)):
         (family,) = metric.describe()
         labels = ", ".join(f"`{name}`" for name in metric._labelnames) or "-"
         suffix = "_total" if family.type == "counter" else ""
--- a/src/egretrail/daemon/_operator_face.py
+++ b/src/egretrail/daemon/_operator_api.py
@@ -1,4 +1,4 @@
-"""What operators speak to: health, metrics, and what the instance sees and would do."""
+"""HTTP resources for operators: health, metrics, and the instance's state and decisions."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,22 +16,22 @@
 
 
 class LiveResource:
-    """Liveness: the process runs and its loop turns."""
+    """Liveness: the process runs and its event loop makes progress."""
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer 200."""
+        """Respond with 200."""
         resp.media = {"live": True}
 
 
 class ReadyResource:
-    """Readiness: the instance holds the settings and may be named to callers."""
+    """Readiness: the instance holds current settings and may be listed in resolve responses."""
 
     def __init__(self, view: FleetView, routing: Routing) -> None:
         self._view = view
         self._routing = routing
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer 200 when ready, 503 before that, while catching up and while stopping."""
+        """Respond with 200 when ready, with 503 while starting, catching up or stopping."""
         own = self._view.own
         caught_up = self._routing.caught_up
         ready = own.ready and caught_up
@@ -40,21 +40,21 @@
 
 
 class MetricsResource:
-    """The Prometheus text format."""
+    """The metrics in the Prometheus text format."""
 
-    def __init__(self, metrics: Metrics, refresh: "MetricsRefresh") -> None:
+    def __init__(self, metrics: Metrics, gauges: "GaugeUpdater") -> None:
         self._metrics = metrics
-        self._refresh = refresh
+        self._gauges = gauges
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer with every metric."""
-        self._refresh.refresh()
+        """Respond with every metric."""
+        self._gauges.update()
         resp.data = generate_latest(self._metrics.registry)
         resp.content_type = CONTENT_TYPE_LATEST
 
 
-class MetricsRefresh:
-    """Sets the gauges that show state when they are read."""
+class GaugeUpdater:
+    """Sets the gauges that show the instance's state, each time the metrics are read."""
 
     def __init__(
         self,
@@ -70,8 +70,8 @@
         self._status = status
         self._in_flight = in_flight
 
-    def refresh(self) -> None:
-        """Set every gauge from the state it shows."""
+    def update(self) -> None:
+        """Set every gauge from the current state."""
         metrics = self._metrics
         status = self._status()
         metrics.ready.set(1 if self._view.own.ready and status.caught_up else 0)
@@ -84,20 +84,20 @@
         for member in self._view.members():
             metrics.members.labels(member.state.value).inc()
         metrics.upstreams.clear()
-        for name, state in self._services.held.items():
+        for name, state in self._services.states.items():
             metrics.queued.labels(name).set(state.scheduler.waiting)
-            for _, verdict in state.judged():
+            for _, verdict in state.verdicts():
                 metrics.upstreams.labels(name, verdict.state.value).inc()
 
 
 class InstancesResource:
-    """The fleet as this instance sees it."""
+    """The members of the fleet known to this instance."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer with every known member."""
+        """Respond with every known member."""
         resp.media = {
             "instances": [
                 {
@@ -120,7 +120,7 @@
         self._services = services
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer with each upstream's state, weight and cause."""
+        """Respond with each upstream's state, weight and cause."""
         now_s = asyncio.get_running_loop().time()
         resp.media = {
             "upstreams": [
@@ -133,8 +133,8 @@
                     "for_s": round(now_s - verdict.since_s, 1),
                     "in_flight": state.scheduler.in_flight().get(upstream, 0),
                 }
-                for name, state in sorted(self._services.held.items())
-                for upstream, verdict in state.judged()
+                for name, state in sorted(self._services.states.items())
+                for upstream, verdict in state.verdicts()
             ]
         }
 
@@ -146,7 +146,7 @@
         self._settings = settings
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer with every route, by name."""
+        """Respond with every route, by name."""
         routes = self._settings().routes
         resp.media = {
             "routes": [
@@ -163,7 +163,7 @@
 
 
 class ExplainResource:
-    """Why a request would go where it goes, or be refused."""
+    """Explains how a request would be routed, or why it would be refused."""
 
     def __init__(
         self,
@@ -178,35 +178,35 @@
         self._source = source
 
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer for the request that the query describes: method, host, path."""
+        """Respond with the decision for the method, host and path of the query."""
         method = req.get_param("method") or "GET"
         path = req.get_param("path") or "/"
-        found = self._routing.match(req.get_param("host") or "", path, method)
-        if isinstance(found, Err):
+        match = self._routing.match(req.get_param("host") or "", path, method)
+        if isinstance(match, Err):
             resp.media = {
                 "result": "refused",
                 "cause": "unsafe-path",
-                "detail": str(found.err_value),
+                "detail": str(match.err_value),
             }
             return
-        matched = found.ok_value
-        if matched is None:
+        route_match = match.ok_value
+        if route_match is None:
             resp.media = {"result": "refused", "cause": "no-route"}
             return
-        group = self._view.group(matched.service)
-        state = self._services.get(matched.service)
+        group = self._view.group(route_match.service)
+        state = self._services.get(route_match.service)
         resp.media = {
             "result": "routed" if state is not None else "refused",
-            "route": matched.route,
-            "service": matched.service,
-            "idempotent": matched.idempotent,
-            "needs_key": not matched.idempotent,
+            "route": route_match.route,
+            "service": route_match.service,
+            "idempotent": route_match.idempotent,
+            "needs_key": not route_match.idempotent,
             "group": [member.name for member in group],
             "served_here": any(member.name == self._view.own.name for member in group),
-            "upstreams_listed": [row.name for row in self._source.upstreams(matched.service)],
+            "upstreams_listed": [row.name for row in self._source.upstreams(route_match.service)],
             "upstreams_judged": [
                 {"upstream": name, "state": verdict.state.value, "cause": verdict.cause.value}
-                for name, verdict in (state.judged() if state is not None else ())
+                for name, verdict in (state.verdicts() if state is not None else ())
             ],
             "waiting": state.scheduler.waiting if state is not None else 0,
         }
--- a/src/egretrail/daemon/_report_face.py
+++ b/src/egretrail/daemon/_report_resource.py
@@ -1,4 +1,4 @@
-"""The burn report on the operators' face."""
+"""The HTTP resource of the error budget report, for operators."""
 
 import falcon.asgi
 from pydantic import TypeAdapter
@@ -10,12 +10,12 @@
 
 
 class ReportResource:
-    """What the fleet's callers were told, and how fast that burns the services' budgets."""
+    """The fleet's response counts and how fast they use up the services' error budgets."""
 
     def __init__(self, driver: ReportDriver) -> None:
         self._driver = driver
 
     async def on_get(self, _req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Gather from every instance and answer with the whole report as JSON."""
+        """Gather the counts from every instance and respond with the report as JSON."""
         resp.data = _REPORT.dump_json(await self._driver.gather())
         resp.content_type = "application/json"
--- a/src/egretrail/daemon/_requests.py
+++ b/src/egretrail/daemon/_request_handler.py
@@ -1,4 +1,4 @@
-"""The way of one request through an instance: route, then home or group, then an upstream."""
+"""Handles a client's request: route, then the key's home or the group, then an upstream."""
 
 import asyncio
 from dataclasses import dataclass
@@ -24,39 +24,39 @@
 from egretrail.wire import Message
 
 _NO_ROUTE = Problem("no-route", 404, "No route matches the request")
-_KEY_NEEDED = Problem(
+_KEY_REQUIRED = Problem(
     "key-needed", 428, "A request that is not idempotent needs an Idempotency-Key"
 )
-#: After a pause an instance may hold settings that were replaced meanwhile; serving by them would
-#: bring a replaced configuration back into force here.
+#: After a pause of its process an instance may hold settings that have been replaced. Serving
+#: requests by them would put a replaced configuration back into force here.
 _NOT_READY = Refusal(Outcome.NOT_RUN, RefusalCause.NOT_READY, retry_after_s=1.0)
-#: A forwarded request whose route has not reached this instance yet.
+#: The route of a forwarded request is not known to this instance yet.
 _UNKNOWN_ROUTE = Refusal(Outcome.NOT_RUN, RefusalCause.NO_UPSTREAM, retry_after_s=1.0)
-#: Instances of the group that one idempotent request is passed to before it is given up: a second
-#: one covers a member that has just gone, a third would only add load while the group is cut off.
-_FORWARD_TRIES = 2
+#: Number of group members that an idempotent request is forwarded to in turn. A second attempt
+#: covers a member that has just gone; a third would only add load while the group is unreachable.
+_MAX_FORWARD_ATTEMPTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """One request as its caller sent it, read to its end."""
+    """A complete request from a client."""
 
     method: str
-    #: Raw path and query.
+    #: Path and query, percent-encoded as received.
     target: str
     host: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    #: Digest of the caller's credential.
+    #: Digest of the client's credential.
     caller_id: CallerId
-    #: The caller's own deadline; None: the route's applies.
+    #: The client's timeout in seconds; None if the route's applies.
     timeout_s: float | None
-    #: The Idempotency-Key; None when there is none.
+    #: The Idempotency-Key; None if the request has none.
     key: str | None
 
 
-class RequestPath:
-    """Takes each request the way that its route and its key ask for."""
+class RequestHandler:
+    """Dispatches each request by its route and its idempotency key."""
 
     def __init__(
         self,
@@ -69,21 +69,21 @@
     ) -> None:
         self._routing = routing
         self._view = view
-        self._network = network
+        self._peers = network
         self._keyed = keyed
         self._local = local
         self._accounting = accounting
-        network.on(ForwardRequest, self._take_forwarded)
+        network.on(ForwardRequest, self._handle_forwarded)
 
     async def handle(self, incoming: IncomingRequest) -> Answer | Problem:
         """Answer one request of a caller."""
         if not self._routing.caught_up:
             return _NOT_READY
         path = incoming.target.partition("?")[0]
-        found = self._routing.match(incoming.host, path, incoming.method)
-        if isinstance(found, Err):
-            return Problem("unsafe-path", 400, "The path is not safe", detail=str(found.err_value))
-        matched = found.ok_value
+        lookup = self._routing.match(incoming.host, path, incoming.method)
+        if isinstance(lookup, Err):
+            return Problem("unsafe-path", 400, "The path is not safe", detail=str(lookup.err_value))
+        matched = lookup.ok_value
         if matched is None:
             return _NO_ROUTE
         settings = matched.settings
@@ -99,20 +99,22 @@
             key=incoming.key,
         )
         if incoming.key is None and not matched.idempotent:
-            return _KEY_NEEDED
+            return _KEY_REQUIRED
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         if matched.idempotent:
-            answer = await self._idempotent(envelope, settings)
+            response = await self._handle_idempotent(envelope, settings)
         else:
-            answer = await self._keyed.run(envelope)
+            response = await self._keyed.run(envelope)
         service = self._routing.service(matched.service)
         duration_s = loop.time() - started_s
-        self._accounting.answered(matched.service, matched.route, service, answer, duration_s)
-        return answer
+        self._accounting.record_response(
+            matched.service, matched.route, service, response, duration_s
+        )
+        return response
 
     async def execute(self, envelope: RequestEnvelope) -> Answer:
-        """Answer a request from here, by its route's settings in force here."""
+        """Execute a request on this instance, by the settings of its route in force here."""
         if not self._routing.caught_up:
             return _NOT_READY
         settings = self._routing.route(envelope.route)
@@ -120,31 +122,34 @@
             return _UNKNOWN_ROUTE
         return await self._local.execute(envelope, settings)
 
-    async def _idempotent(self, envelope: RequestEnvelope, settings: RouteSettings) -> Answer:
-        """Answer here if this instance serves the service, else pass the request to one that does.
+    async def _handle_idempotent(
+        self, envelope: RequestEnvelope, settings: RouteSettings
+    ) -> Answer:
+        """Execute here if this instance is in the service's group, else forward to a member.
 
-        Load: a caller that kept an old resolve answer, or asked for another route. Harm prevented:
-        instances outside the group would open connections to every upstream and learn nothing of
-        their health. When the group cannot be reached this instance serves: capacity before order.
+        A client that kept an old resolve response, or that resolved another route, sends requests
+        to instances outside the group. If they served them, they would open connections to every
+        upstream without learning the upstreams' health. When the group cannot be reached, this
+        instance serves the request all the same: availability is worth more than the grouping.
         """
         group = self._view.group(envelope.service)
         if not group or any(member.name == self._view.own.name for member in group):
             return await self._local.execute(envelope, settings)
-        for member in group[:_FORWARD_TRIES]:
-            answer = await self._forward(member, envelope)
-            if answer is not None:
-                return answer
+        for member in group[:_MAX_FORWARD_ATTEMPTS]:
+            response = await self._forward(member, envelope)
+            if response is not None:
+                return response
         return await self._local.execute(envelope, settings)
 
     async def _forward(self, member: Member, envelope: RequestEnvelope) -> Answer | None:
-        replied = await self._network.ask(
+        result = await self._peers.ask(
             member.name, ForwardRequest(envelope), ForwardReply, envelope.deadline_s
         )
-        match replied:
+        match result:
             case Ok(reply):
                 return reply.answer
             case Err():
                 return None
 
-    async def _take_forwarded(self, _sender: Incarnation, message: ForwardRequest) -> Message:
+    async def _handle_forwarded(self, _sender: Incarnation, message: ForwardRequest) -> Message:
         return ForwardReply(await self.execute(message.request))
--- a/src/egretrail/daemon/_resolve.py
+++ b/src/egretrail/daemon/_resolver.py
@@ -1,4 +1,4 @@
-"""Tells callers which addresses to use for a route, and with which idempotency-key prefixes."""
+"""The resolve endpoint: the addresses of a route's instances and their key prefixes."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class Resolver:
-    """The resolve question, a falcon resource."""
+    """The Falcon resource of the resolve endpoint."""
 
     def __init__(
         self, routing: Routing, view: FleetView, keyed: KeyedExecutor, ttl_s: float
@@ -26,22 +26,22 @@
         self._ttl_s = ttl_s
 
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Answer with the addresses of the instances that serve the path's service."""
+        """Respond with the addresses of the instances that serve the path's service."""
         path = req.get_param("path")
         if not path:
-            return _show(resp, _NO_PATH)
-        found = self._routing.match(req.get_param("host") or "", path, "GET")
-        matched = found.ok_value if isinstance(found, Ok) else None
+            return _write_problem(resp, _NO_PATH)
+        lookup = self._routing.match(req.get_param("host") or "", path, "GET")
+        matched = lookup.ok_value if isinstance(lookup, Ok) else None
         if matched is None:
-            return _show(resp, _NO_ROUTE)
-        named = [
+            return _write_problem(resp, _NO_ROUTE)
+        members = [
             member
             for member in self._view.group(matched.service)
             if member.state is MemberState.ALIVE and member.ready
         ]
-        addresses = await asyncio.gather(*(self._address(member) for member in named))
+        addresses = await asyncio.gather(*(self._describe(member) for member in members))
         if not addresses:
-            return _show(resp, _NOT_READY)
+            return _write_problem(resp, _NOT_READY)
         resp.media = {
             "service": matched.service,
             "route": matched.route,
@@ -51,7 +51,7 @@
         }
         resp.set_header("Cache-Control", f"max-age={int(self._ttl_s)}")
 
-    async def _address(self, member: Member) -> dict[str, object]:
+    async def _describe(self, member: Member) -> dict[str, object]:
         prefix = await self._keyed.prefix_for(member.name)
         return {
             "instance": member.name,
@@ -62,7 +62,7 @@
         }
 
 
-def _show(resp: falcon.asgi.Response, problem: Problem) -> None:
+def _write_problem(resp: falcon.asgi.Response, problem: Problem) -> None:
     resp.status = problem.status
     resp.media = problem.document()
     resp.content_type = PROBLEM_CONTENT_TYPE
