--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make test` and `make demo` do everything on a machine with Python 3.11 and make.
+# `make test` and `make demo` need only Python 3.11 and make; they set up the environment.
 PYTHON ?= python3.11
 VENV := .venv
 BIN := $(VENV)/bin
@@ -13,15 +13,15 @@
 	$(BIN)/pip install -qq --disable-pip-version-check --no-deps --editable .
 	touch $@
 
-# Simulated fleets send in the order in which sets of names are iterated: the same on each run.
+# Simulated fleets send in the iteration order of sets of names; a fixed seed makes runs repeatable.
 HASH_SEED ?= 1
-# Processes that share the tests; each has loopback addresses of its own.
+# Number of pytest workers; each uses loopback addresses of its own.
 WORKERS ?= 4
-# Tests that KNOWN-RED.txt lists, one a line, are printed and passed over.
-# An entry begins with the test's id and a colon; ids may have spaces.
+# Tests listed in KNOWN-RED.txt, one per line, are printed and deselected.
+# An entry begins with the test's id and a colon; ids may contain spaces.
 KNOWN_RED := touch KNOWN-RED.txt; sed -n '/^[^ ]*::/{s/: .*//;s/^/--deselect=/;p}' KNOWN-RED.txt
 test: setup
-	@if [ -s KNOWN-RED.txt ]; then echo "Known red, passed over:"; cat KNOWN-RED.txt; fi
+	@if [ -s KNOWN-RED.txt ]; then echo "Known failures, not run:"; cat KNOWN-RED.txt; fi
 	$(KNOWN_RED) | PYTHONHASHSEED=$(HASH_SEED) xargs -d '\n' $(BIN)/python -m pytest -n $(WORKERS) --dist worksteal $(PYTEST_ARGS)
 
 check: setup
@@ -56,7 +56,7 @@
 measure: setup
 	$(BIN)/python -m benchmarks.measure
 
-# What instances cost each other, over a simulated network: make bench-fleet SIZES="44 133 300"
+# Control-plane cost of instances over a simulated network: make bench-fleet SIZES="44 133 300"
 SIZES ?= 44 133 300
 bench-fleet: setup
 	$(BIN)/python -m benchmarks.fleet $(SIZES)
@@ -64,14 +64,14 @@
 bench-decisions: setup
 	$(BIN)/python -m benchmarks.decisions
 
-# Random faults against real processes: make soak SEED=7 SEEDS=10 SOAK_SECONDS=20
+# Random fault injection against real processes: make soak SEED=7 SEEDS=10 SOAK_SECONDS=20
 SEED ?= 1
 SEEDS ?= 1
 SOAK_SECONDS ?= 20
 soak: setup
 	$(BIN)/python -m scaffolding.soak --seed $(SEED) --seeds $(SEEDS) --seconds $(SOAK_SECONDS)
 
-# Every proof, with the explorations that are too long for CI.
+# All tests, including the state-space explorations that are too long for CI.
 prove: setup
 	$(BIN)/python -m pytest src scaffolding
 	EGRETRAIL_PROVE=1 $(BIN)/python -m pytest src/egretrail/floor/tests/test_honouring_exploration.py
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,7 +1,7 @@
-"""Microbenchmarks of the scheduler's decisions by the number of upstreams; prints one table.
+"""Microbenchmarks of the scheduler's decisions by number of upstreams; prints one table.
 
-A request is submitted and finished with slots free (placing), or submitted to a full queue and
-refused (admitting). The upstreams' candidates are taken anew for each event, as the daemon does.
+A request is submitted and finished with free slots (placing), or submitted to a full queue and
+refused (admitting). The candidates are a new list for each call, as in the daemon.
 """
 
 import random
@@ -29,8 +29,8 @@
 _ZONE = AvailabilityZone("espoo-b")
 
 
-class _Weights(UpstreamWeights):
-    """A fixed set of upstreams, in a new sequence each time."""
+class _FixedUpstreams(UpstreamWeights):
+    """A fixed set of upstreams, returned as a new list each time."""
 
     def __init__(self, count: int) -> None:
         self._candidates = [
@@ -43,7 +43,7 @@
         return list(self._candidates)
 
     def group_position(self) -> GroupPosition:
-        """Return one member of a group with 16 slots for each, as groups are made."""
+        """Return a member's position in a group sized for 16 slots per member."""
         return GroupPosition(1, max(3, len(self._candidates) * _SLOTS // 16))
 
 
@@ -61,7 +61,7 @@
 
 
 def _placing(count: int) -> None:
-    scheduler = Scheduler(_ZONE, _Weights(count), 0.1, random.Random(1))
+    scheduler = Scheduler(_ZONE, _FixedUpstreams(count), 0.1, random.Random(1))
     for number in range(_ROUNDS):
         now_s = number * 0.001
         (action,) = scheduler.submit(_work(number, now_s), now_s)
@@ -72,19 +72,19 @@
 
 
 def _admitting(count: int) -> None:
-    scheduler = Scheduler(_ZONE, _Weights(count), 0.1, random.Random(1))
+    scheduler = Scheduler(_ZONE, _FixedUpstreams(count), 0.1, random.Random(1))
     for number in range(count * _SLOTS + _ROUNDS):
         scheduler.submit(_work(number, 0.0), 0.0)
 
 
 def _microseconds(run: Callable[[int], None], count: int, events: int) -> float:
-    """Return the least time of an event over the repeats."""
-    found = []
+    """Return the shortest time per event over the repeats, in microseconds."""
+    durations_s = []
     for _ in range(_REPEATS):
-        begun_s = time.process_time()
+        started_s = time.process_time()
         run(count)
-        found.append(time.process_time() - begun_s)
-    return 1e6 * min(found) / events
+        durations_s.append(time.process_time() - started_s)
+    return 1e6 * min(durations_s) / events
 
 
 def main() -> None:
--- a/benchmarks/groups.py
+++ b/benchmarks/groups.py
@@ -1,4 +1,4 @@
-"""Measures how many groups change when one member leaves, and what a choice costs.
+"""Measures how many groups change when one member leaves, and the time to choose a group.
 
 Run as ``python -m benchmarks.groups``.
 """
@@ -24,9 +24,11 @@
     ]
 
 
-def _changed(index: GroupIndex, keys: Sequence[str], size: int, left: Sequence[Member]) -> int:
+def _count_changed(
+    index: GroupIndex, keys: Sequence[str], size: int, remaining: Sequence[Member]
+) -> int:
     before = {key: list(index.choose(key, size)) for key in keys}
-    index.update(left)
+    index.update(remaining)
     return sum(before[key] != list(index.choose(key, size)) for key in keys)
 
 
@@ -37,19 +39,19 @@
         keys = [f"service-{service}" for service in range(services)]
         index = GroupIndex()
         index.update(members)
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         chosen = [index.choose(key, size) for key in keys]
-        first_s = (time.perf_counter() - began_s) / services
+        first_s = (time.perf_counter() - started_s) / services
         load = [sum(member.name in group for group in chosen) for member in members]
         changes = []
         update_s = 0.0
         trials = 20
         for trial in range(trials):
-            gone = members[trial * len(members) // trials]
-            left = [member for member in members if member is not gone]
-            began_s = time.perf_counter()
-            changes.append(_changed(index, keys, size, left))
-            update_s += time.perf_counter() - began_s
+            departed = members[trial * len(members) // trials]
+            remaining = [member for member in members if member is not departed]
+            started_s = time.perf_counter()
+            changes.append(_count_changed(index, keys, size, remaining))
+            update_s += time.perf_counter() - started_s
             index.update(members)
         mean = sum(changes) / trials
         print(
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -1,7 +1,7 @@
-"""Plays the recipes under egretrail and the baselines, and prints one table for each half.
+"""Replays the recipes under egretrail and the baselines; prints a table for each set of seeds.
 
-Deterministic: two runs print the same. Other policies than the default ones: ``--orders`` compares
-the queue's orders, ``--slots`` the ways to share slots within a group.
+The output is deterministic. ``--comparison orders`` compares queue orders instead, and
+``--comparison slots`` the ways to share slots within a group.
 """
 
 import argparse
@@ -21,7 +21,7 @@
     EgretrailFactory,
     PolicyFactory,
     Row,
-    Unmet,
+    UnmetExpectation,
     Variant,
     play,
     slowdown,
@@ -45,23 +45,23 @@
     EgretrailFactory(Variant("no shared evidence", share_evidence=False)),
 )
 _COMPARISONS = {"standard": _STANDARD, "orders": _ORDERS, "slots": _SLOTS}
-#: Recipes in which requests wait; the comparisons of orders and slots are played on these.
-_LOADED = ("healthy", "overload", "long", "skewed", "burst", "slots", "tight")
+#: Recipes in which requests queue, by parts of their names; orders and slots are compared on these.
+_QUEUEING_RECIPES = ("healthy", "overload", "long", "skewed", "burst", "slots", "tight")
 
-#: The recipe whose p99 is compared with that of the same requests without the fault.
-_SLOW = "5x-slow"
+#: The recipe whose p99 latency is compared with and without its fault.
+_SLOWDOWN_RECIPE = "5x-slow"
 
 _Job = tuple[int, Deployment, Sequence[int], str]
 
 
-def _play(job: _Job) -> tuple[list[Row], list[Unmet]]:
+def _play_job(job: _Job) -> tuple[list[Row], list[UnmetExpectation]]:
     index, deployment, seeds, comparison = job
     return play(RECIPES[index], deployment, seeds, _COMPARISONS[comparison])
 
 
-def _slowdown(job: tuple[Deployment, Sequence[int]]) -> float:
+def _slowdown_job(job: tuple[Deployment, Sequence[int]]) -> float:
     deployment, seeds = job
-    (recipe,) = (each for each in RECIPES if each.name == _SLOW)
+    (recipe,) = (each for each in RECIPES if each.name == _SLOWDOWN_RECIPE)
     return slowdown(recipe, deployment, seeds, _STANDARD[0])
 
 
@@ -73,34 +73,34 @@
     return parser.parse_args()
 
 
-def _chosen(arguments: argparse.Namespace) -> list[int]:
-    loaded_only = arguments.comparison != "standard"
+def _recipe_indexes(arguments: argparse.Namespace) -> list[int]:
+    queueing_only = arguments.comparison != "standard"
     return [
         index
         for index, recipe in enumerate(RECIPES)
         if arguments.recipe in recipe.name
-        and (not loaded_only or any(word in recipe.name for word in _LOADED))
+        and (not queueing_only or any(word in recipe.name for word in _QUEUEING_RECIPES))
     ]
 
 
 def main() -> None:
-    """Play what was asked for and print the tables."""
+    """Replay the chosen recipes and print the tables."""
     arguments = _arguments()
-    halves = {"Tuned on": TUNING_SEEDS, "Held out": HELD_OUT_SEEDS}
-    places = list(itertools.product(_chosen(arguments), Deployment))
+    seed_sets = {"Tuned on": TUNING_SEEDS, "Held out": HELD_OUT_SEEDS}
+    cells = list(itertools.product(_recipe_indexes(arguments), Deployment))
     with multiprocessing.Pool(arguments.processes) as pool:
-        for title, seeds in halves.items():
-            jobs = [(index, each, seeds, arguments.comparison) for index, each in places]
-            results = pool.map(_play, jobs, chunksize=1)
-            rows = [row for made, _ in results for row in made]
-            unmet = [each for _, found in results for each in found]
+        for title, seeds in seed_sets.items():
+            jobs = [(index, each, seeds, arguments.comparison) for index, each in cells]
+            results = pool.map(_play_job, jobs, chunksize=1)
+            rows = [row for result_rows, _ in results for row in result_rows]
+            unmet = [each for _, missed in results for each in missed]
             lines = [f"## {title}, seeds {', '.join(map(str, seeds))}", "", *table(rows), ""]
             lines += [f"Stated outcomes not met: {len(unmet)}", ""]
             lines += [f"- {each}" for each in unmet]
             if arguments.comparison == "standard" and not arguments.recipe:
-                slow = pool.map(_slowdown, [(each, seeds) for each in Deployment])
-                found = targets(rows, dict(zip(Deployment, slow, strict=True)))
-                lines += ["", "Targets:", "", *(f"- {each}" for each in found)]
+                slowdowns = pool.map(_slowdown_job, [(each, seeds) for each in Deployment])
+                checked = targets(rows, dict(zip(Deployment, slowdowns, strict=True)))
+                lines += ["", "Targets:", "", *(f"- {each}" for each in checked)]
             sys.stdout.write("\n".join(lines) + "\n\n")
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,7 +1,7 @@
-"""Measures what membership costs one instance, from real messages on a paused clock.
+"""Measures the cost of membership for one instance, with real messages on a paused clock.
 
-Run as ``python -m benchmarks.membership``. Bytes are those of the encoded frames sent by
-all instances, divided by their number; processor time is that of the whole run, fakes included.
+Run as ``python -m benchmarks.membership``. Bytes are those of all encoded frames divided by the
+number of instances. CPU time is that of the whole run, including the fakes.
 """
 
 import asyncio
@@ -26,10 +26,10 @@
 
     def on(self, cls: type[Any], handler: Any) -> None:
         async def counted(sender: Incarnation, body: Any) -> Message | None:
-            answer: Message | None = await handler(sender, body)
-            if answer is not None:
-                _count(answer)
-            return answer
+            reply: Message | None = await handler(sender, body)
+            if reply is not None:
+                _count(reply)
+            return reply
 
         super().on(cls, counted)
 
@@ -63,8 +63,8 @@
         await start(name)
     await asyncio.sleep(30.0)
     _CountingPeer.sent_bytes = _CountingPeer.sent_messages = 0
-    reads = instance_list.reads
-    began_s = time.process_time()
+    reads_before = instance_list.reads
+    started_s = time.process_time()
     rng = random.Random(3)
     loop = asyncio.get_running_loop()
     until_s = loop.time() + measured_s
@@ -77,14 +77,14 @@
             await start(name)
         else:
             await asyncio.sleep(measured_s)
-    spent_s = time.process_time() - began_s
-    share = 1.0 / (size * measured_s)
+    cpu_s = time.process_time() - started_s
+    per_instance_s = 1.0 / (size * measured_s)
     print(
         f"{size} instances, {restarts_per_s} restarts/s: each sends "
-        f"{_CountingPeer.sent_bytes * share:.0f} bytes/s in "
-        f"{_CountingPeer.sent_messages * share:.2f} messages/s; "
-        f"{spent_s * share * 1e3:.2f} ms/s of processor an instance; "
-        f"the list is read {(instance_list.reads - reads) / measured_s:.2f} times/s"
+        f"{_CountingPeer.sent_bytes * per_instance_s:.0f} bytes/s in "
+        f"{_CountingPeer.sent_messages * per_instance_s:.2f} messages/s; "
+        f"{cpu_s * per_instance_s * 1e3:.2f} ms/s of processor an instance; "
+        f"the list is read {(instance_list.reads - reads_before) / measured_s:.2f} times/s"
     )
 
 
--- a/benchmarks/pass_through.py
+++ b/benchmarks/pass_through.py
@@ -1,4 +1,4 @@
-"""A bare falcon and aiohttp pass-through: what a request costs with these libraries alone."""
+"""A minimal proxy of Falcon and aiohttp, to measure the cost of these libraries alone."""
 
 import socket
 
@@ -9,7 +9,7 @@
 
 
 class PassThrough:
-    """Passes every request to one address and the answer back."""
+    """Forwards every request to one address and returns the response."""
 
     def __init__(self, port: int) -> None:
         self._base_url = f"http://127.0.0.1:{port}"
@@ -18,27 +18,27 @@
     async def serve(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response | None, **_: object
     ) -> None:
-        """Pass one request on."""
+        """Forward one request."""
         assert resp is not None
         if self._session is None:
             self._session = aiohttp.ClientSession(auto_decompress=False)
         url = self._base_url + req.relative_uri
         body = await req.stream.read()
-        async with self._session.request(req.method, url, data=body or None) as answer:
-            resp.status = answer.status
-            resp.data = await answer.read()
+        async with self._session.request(req.method, url, data=body or None) as response:
+            resp.status = response.status
+            resp.data = await response.read()
 
 
 @click.command()
 @click.option("--to", type=int, required=True)
 def main(to: int) -> None:
-    """Run the pass-through on loopback."""
+    """Run the proxy on loopback."""
     app = falcon.asgi.App()
     app.add_sink(PassThrough(to).serve, prefix="/")
-    listening = socket.create_server(("127.0.0.1", 0), backlog=1024)
-    click.echo(f"listening port={listening.getsockname()[1]}")
+    listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
+    click.echo(f"listening port={listener.getsockname()[1]}")
     config = uvicorn.Config(app, log_config=None, access_log=False, loop="asyncio")
-    uvicorn.Server(config).run(sockets=[listening])
+    uvicorn.Server(config).run(sockets=[listener])
 
 
 if __name__ == "__main__":
--- a/benchmarks/slack_and_load.py
+++ b/benchmarks/slack_and_load.py
@@ -1,34 +1,34 @@
-"""A queue order that is measured beside those of the scheduler."""
+"""A queue order for comparison with those of the scheduler."""
 
 from egretrail.identity import RouteName
 from egretrail.service import Entry, QueueOrder
 
-#: Exponent of the slack, and a slack that keeps the urgency finite.
+#: Exponent of the slack, and the minimum slack, which keeps the urgency finite.
 _SLACK_POWER = 3
-_LEAST_SLACK_S = 0.001
-#: Weight of the newest length of a route's queue in its usual length.
-_USUAL_GAIN = 0.01
+_MIN_SLACK_S = 0.001
+#: Weight of the newest queue length in the moving average of a route's queue length.
+_AVERAGE_GAIN = 0.01
 
 
 class SlackAndLoad(QueueOrder):
-    """The route whose oldest request has the least slack for its load comes first.
+    """Serves routes by the slack of their oldest request and their load.
 
-    The urgency of a route is its number of waiting requests, as a share of the usual number, over
-    the cube of its oldest request's slack. Within a route requests start in the order of their
-    arrival. Measured as a queue order and not taken, see the design note on load.
+    The urgency of a route is its number of waiting requests relative to the moving average, divided
+    by the cube of its oldest request's slack. Within a route requests start in order of arrival.
+    The scheduler does not use this order: see the design note on load.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._routes: dict[RouteName, dict[Entry, None]] = {}
-        self._usual: dict[RouteName, float] = {}
+        self._average_length: dict[RouteName, float] = {}
 
     def _insert(self, entry: Entry) -> None:
         route = entry.work.route
         waiting = self._routes.setdefault(route, {})
         waiting[entry] = None
-        usual = self._usual.get(route, 1.0)
-        self._usual[route] = usual + _USUAL_GAIN * (len(waiting) - usual)
+        average = self._average_length.get(route, 1.0)
+        self._average_length[route] = average + _AVERAGE_GAIN * (len(waiting) - average)
 
     def _removed(self, entry: Entry) -> None:
         waiting = self._routes[entry.work.route]
@@ -45,5 +45,5 @@
 
     def _urgency(self, route: RouteName, now_s: float) -> float:
         waiting = self._routes[route]
-        slack_s = max(_LEAST_SLACK_S, next(iter(waiting)).latest_start_s - now_s)
-        return len(waiting) / max(1.0, self._usual[route]) / slack_s**_SLACK_POWER
+        slack_s = max(_MIN_SLACK_S, next(iter(waiting)).latest_start_s - now_s)
+        return len(waiting) / max(1.0, self._average_length[route]) / slack_s**_SLACK_POWER
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,7 @@
-"""Measures the slopes behind ``docs/CAPACITY.md``: each cost at three sizes and what one more adds.
+"""Measures how costs grow with size, for ``docs/CAPACITY.md``: three sizes and the marginal cost.
 
-Memory is what tracemalloc counts after a collection; processor time is this process's. Nothing is
-asserted: the figures are for the page.
+Memory is measured by tracemalloc after a garbage collection; CPU time is that of this process.
+Nothing is asserted.
 """
 
 import gc
@@ -53,46 +53,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One cost at several sizes."""
+    """One cost at several sizes, with its growth."""
 
-    #: What is measured, with its unit, and what the sizes count.
+    #: What is measured, its unit, the sizes and the value at each size.
     name: str
     unit: str
     sizes: Sequence[int]
     values: Sequence[float]
 
     @property
-    def per_one(self) -> float:
-        """Return what one more adds, between the smallest and the largest size."""
+    def per_unit(self) -> float:
+        """Return the cost per additional unit, between the smallest and the largest size."""
         return (self.values[-1] - self.values[0]) / (self.sizes[-1] - self.sizes[0])
 
 
 def _memory_bytes(build: Callable[[], Any]) -> float:
     gc.collect()
     tracemalloc.start()
-    held = build()
+    kept = build()
     gc.collect()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del kept
     return float(used)
 
 
-def _cpu_us(act: Callable[[], Any], rounds: int) -> float:
-    act()
+def _cpu_us(action: Callable[[], Any], rounds: int) -> float:
+    action()
     best = float("inf")
     for _ in range(3):
         started_s = time.process_time()
         for _ in range(rounds):
-            act()
+            action()
         best = min(best, (time.process_time() - started_s) / rounds)
     return best * 1e6
 
 
 def _resident_mb(code: str) -> float:
     script = f"{code}\nprint(open('/proc/self/status').read())"
-    shown = subprocess.run([sys.executable, "-c", script], capture_output=True, check=True)
-    line = next(line for line in shown.stdout.decode().splitlines() if line.startswith("VmRSS"))
+    completed = subprocess.run([sys.executable, "-c", script], capture_output=True, check=True)
+    line = next(line for line in completed.stdout.decode().splitlines() if line.startswith("VmRSS"))
     return int(line.split()[1]) / 1024
 
 
@@ -169,11 +169,11 @@
     catalogue, _ = _catalogue(routes)
     generation = iter(range(10_000_000, 20_000_000))
 
-    def one() -> None:
+    def apply_change() -> None:
         text = _ROUTE.replace("{n}", "0") + "queue_s = 1.0\n"
         catalogue.apply(SettingChange("team-0/routes/shop", next(generation), "c" * 16, text))
 
-    return _cpu_us(one, 200)
+    return _cpu_us(apply_change, 200)
 
 
 def _choice_us(members: int) -> float:
@@ -226,7 +226,7 @@
 
 
 def measure_all() -> Sequence[Slope]:
-    """Measure every slope."""
+    """Measure all costs."""
     upstreams, members, routes = (10, 31, 200), (44, 500, 3500), (1000, 4000, 16000)
     return [
         _slope("membership: memory", "bytes", members, lambda n: _memory_bytes(lambda: _table(n))),
@@ -258,7 +258,7 @@
         sizes = ", ".join(map(str, slope.sizes))
         values = ", ".join(f"{value:,.1f}" for value in slope.values)
         click.echo(
-            f"{slope.name:<42}{slope.unit:>6}  {sizes:<20}{values:<34}{slope.per_one:>12,.3f}"
+            f"{slope.name:<42}{slope.unit:>6}  {sizes:<20}{values:<34}{slope.per_unit:>12,.3f}"
         )
 
 
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,4 +1,4 @@
-"""Copies the package beside its libraries in ``target/deps`` and compiles it."""
+"""Copies the package into ``target/deps``, beside its dependencies, and compiles both."""
 
 import compileall
 import shutil
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Replace the copy of the package by one rename, so that programs that start meanwhile run."""
+    """Build a new copy and move it into place, so that a program never sees a partial copy."""
     fresh = _ROOT / "target" / "fresh"
     old = _ROOT / "target" / "old"
     for folder in (fresh, old):
--- a/scaffolding/__init__.py
+++ b/scaffolding/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform and of upstreams, and the demo that drives them; not installed."""
+"""Stand-ins for the platform and upstreams, and the demo that runs them; not installed."""
--- a/scaffolding/demo.py
+++ b/scaffolding/demo.py
@@ -1,7 +1,7 @@
-"""Replays a recorded trace against real processes and prints what callers were told.
+"""Replays a recorded trace against real processes and prints the results that clients got.
 
-Exit code 0 means that nothing ran twice, nothing said not to have run ran, and no answer was
-crossed or cut.
+Exit code 0 means that no work ran twice, no work that was reported as not run did run, each
+response belongs to its request and is complete, and every service answered requests.
 """
 
 import asyncio
@@ -17,32 +17,33 @@
 import click
 import tomli_w
 
-from scaffolding.caller import Caller, Told
+from scaffolding.caller import Client, WorkResult
 from scaffolding.demo_trace import TRACES, DemoTrace, Deployment, Event, ServiceLine, read_trace
 from scaffolding.processes import OPERATOR_TOKEN, FleetProcesses, fleet_processes
 
 _OUTPUT = Path("demo-output")
-_POLL_S = 0.05
-#: A gray upstream has stopped receiving work when it gets at most one request in this long.
-_QUIET_S = 1.0
+_POLL_INTERVAL_S = 0.05
+#: A faulty upstream counts as ejected when it gets at most one request in this time.
+_EJECTED_WINDOW_S = 1.0
 
 
 @dataclass(slots=True)
 class ServiceTally:
-    """What became of one service's requests."""
+    """Counts of the results of one service's requests."""
 
-    told: Counter[str] = field(default_factory=Counter)
+    results: Counter[str] = field(default_factory=Counter)
     requests: int = 0
+    #: Responses that belong to another request or are incomplete.
     crossed: int = 0
-    #: Problem types that callers were told in the end.
+    #: Final problem types.
     problems: Counter[str] = field(default_factory=Counter)
     ran_twice: int = 0
     ran_though_not_run: int = 0
-    quiet_after_s: list[str] = field(default_factory=list)
+    ejection_times: list[str] = field(default_factory=list)
 
 
 class Demo:
-    """One replay."""
+    """Replays one trace."""
 
     def __init__(self, trace: DemoTrace, fleet: FleetProcesses) -> None:
         self._deployment: Deployment = trace.deployment
@@ -50,24 +51,24 @@
         self._fleet = fleet
         self._services = {line.name: line for line in trace.deployment.services}
         self.tallies = {name: ServiceTally() for name in self._services}
-        self._told: dict[str, list[Told]] = {name: [] for name in self._services}
-        self._callers: dict[str, Caller] = {}
+        self._results: dict[str, list[WorkResult]] = {name: [] for name in self._services}
+        self._clients: dict[str, Client] = {}
 
     async def run(self) -> None:
-        """Start everything, replay, and count."""
-        await self._set_up()
+        """Start all processes, replay the trace and count the results."""
+        await self._start_fleet()
         started_s = asyncio.get_running_loop().time()
         tasks = []
         for number, event in enumerate(self._events):
             await asyncio.sleep(
                 max(0.0, started_s + event.at_s - asyncio.get_running_loop().time())
             )
-            tasks.append(asyncio.create_task(self._play(event, number)))
+            tasks.append(asyncio.create_task(self._replay_event(event, number)))
         await asyncio.gather(*tasks)
         for name in self._services:
-            await self._count(name)
+            await self._count_runs(name)
 
-    async def _set_up(self) -> None:
+    async def _start_fleet(self) -> None:
         deployment = self._deployment
         fleet = self._fleet
         fleet.teams = (deployment.team,)
@@ -81,17 +82,17 @@
                 line.service_s,
             )
         await fleet.start_instances(deployment.availability_zones, deployment.instances)
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         for line in deployment.services:
             await put_settings(fleet, deployment, line)
 
-    async def _play(self, event: Event, number: int) -> None:
+    async def _replay_event(self, event: Event, number: int) -> None:
         fleet = self._fleet
         match event.kind:
             case "request":
-                await self._request(event, f"w{number}")
+                await self._send_request(event, f"w{number}")
             case "upstream":
-                await self._upstream_fault(event)
+                await self._inject_upstream_fault(event)
             case "store":
                 await fleet.post(fleet.store_port, "/control", {"out": event.mode == "out"})
             case "kill":
@@ -102,42 +103,49 @@
                 code = await fleet.processes.wait(name)
                 click.echo(f"planned stop of {name}: exit code {code}")
 
-    async def _request(self, event: Event, work: str) -> None:
+    async def _send_request(self, event: Event, work: str) -> None:
         line = self._services[event.service]
         method = "GET" if line.idempotent else "POST"
         path = f"/{line.name}/items/{event.index}?work={work}"
         body = b"" if line.idempotent else f"item={event.index}".encode()
-        told = await self._caller(event.caller).send(method, path, work, line.idempotent, body)
+        result = await self._client(event.caller).send(method, path, work, line.idempotent, body)
         tally = self.tallies[line.name]
         tally.requests += 1
-        tally.told[told.result] += 1
-        if told.result != "answered":
-            tally.problems[told.problem] += 1
-        self._told[line.name].append(told)
-        wanted = f" {method} {path} {told.attempt} {len(body)}\n".encode()
-        if told.result == "answered" and told.status == 200 and not told.body.endswith(wanted):
+        tally.results[result.kind] += 1
+        if result.kind != "answered":
+            tally.problems[result.problem] += 1
+        self._results[line.name].append(result)
+        expected = f" {method} {path} {result.attempt} {len(body)}\n".encode()
+        if (
+            result.kind == "answered"
+            and result.status == 200
+            and not result.body.endswith(expected)
+        ):
             tally.crossed += 1
 
-    async def _upstream_fault(self, event: Event) -> None:
+    async def _inject_upstream_fault(self, event: Event) -> None:
         port = self._fleet.upstreams[event.service][event.index]
         started_s = time.monotonic()
         control = {"draining": True} if event.mode == "draining" else {"mode": event.mode}
         await self._fleet.post(port, "/control", control)
         if event.mode == "good":
             return
-        seen: list[tuple[float, int]] = []
+        samples: list[tuple[float, int]] = []
         while time.monotonic() - started_s < 8.0:
             count = (await self._fleet.get(port, "/runs"))["requests"]
-            seen.append((time.monotonic() - started_s, count))
-            await asyncio.sleep(_POLL_S)
-            if seen[-1][0] > _QUIET_S and count - _count_at(seen, seen[-1][0] - _QUIET_S) <= 1:
+            samples.append((time.monotonic() - started_s, count))
+            await asyncio.sleep(_POLL_INTERVAL_S)
+            if (
+                samples[-1][0] > _EJECTED_WINDOW_S
+                and count - _count_at(samples, samples[-1][0] - _EJECTED_WINDOW_S) <= 1
+            ):
                 break
-        after_s = max(0.0, seen[-1][0] - _QUIET_S)
-        requests = seen[-1][1] - seen[0][1]
+        after_s = max(0.0, samples[-1][0] - _EJECTED_WINDOW_S)
+        requests = samples[-1][1] - samples[0][1]
         text = f"{event.mode}: quiet after {after_s:.2f} s, {requests} requests"
-        self.tallies[event.service].quiet_after_s.append(text)
+        self.tallies[event.service].ejection_times.append(text)
 
-    async def _count(self, name: str) -> None:
+    async def _count_runs(self, name: str) -> None:
         runs: Counter[str] = Counter()
         for port in self._fleet.upstreams[name]:
             runs.update((await self._fleet.get(port, "/runs"))["runs"])
@@ -146,23 +154,23 @@
         for attempt, count in runs.items():
             by_work[attempt.rpartition(".")[0]] += count
         tally.ran_twice = sum(1 for count in by_work.values() if count > 1)
-        for told in self._told[name]:
-            tally.ran_though_not_run += sum(1 for attempt in told.not_run if runs[attempt])
+        for result in self._results[name]:
+            tally.ran_though_not_run += sum(1 for attempt in result.not_run if runs[attempt])
 
-    def _caller(self, name: str) -> Caller:
-        if name not in self._callers:
-            entries = [("127.0.0.1", instance.caller_port) for instance in self._fleet.instances]
+    def _client(self, name: str) -> Client:
+        if name not in self._clients:
+            resolvers = [("127.0.0.1", instance.caller_port) for instance in self._fleet.instances]
             rng = random.Random(name)
-            self._callers[name] = Caller(self._fleet.session, name, entries, rng)
-        return self._callers[name]
+            self._clients[name] = Client(self._fleet.session, name, resolvers, rng)
+        return self._clients[name]
 
 
-def _count_at(seen: list[tuple[float, int]], at_s: float) -> int:
-    return next((count for when, count in reversed(seen) if when <= at_s), seen[0][1])
+def _count_at(samples: list[tuple[float, int]], at_s: float) -> int:
+    return next((count for when, count in reversed(samples) if when <= at_s), samples[0][1])
 
 
 async def put_settings(fleet: FleetProcesses, deployment: Deployment, line: ServiceLine) -> None:
-    """Write one service and its route through an instance's operators' face."""
+    """Write the settings of one service and its route through an instance's operator API."""
     service = {"floor": line.floor, "slots": line.slots, "detection": deployment.detection}
     service["echo_header"] = "X-Request-Id"
     route = {"service": line.name, "path_prefix": f"/{line.name}"}
@@ -175,7 +183,7 @@
         ) as response:
             if response.status != 200:
                 raise click.ClickException(await response.text())
-    await fleet.until_in_force(f"/{line.name}/items")
+    await fleet.wait_until_in_force(f"/{line.name}/items")
 
 
 def print_table(deployment: Deployment, tallies: dict[str, ServiceTally]) -> None:
@@ -187,11 +195,11 @@
     click.echo(f"{deployment.team}, {deployment.instances} instances")
     click.echo(head)
     for name, tally in tallies.items():
-        told = tally.told
+        results = tally.results
         click.echo(
-            f"{name:<12}{tally.requests:>9}{told['answered']:>9}{told['refused']:>8}{told['ran']:>5}"
-            f"{told['unknown']:>8}{told['nothing']:>8}{tally.ran_twice:>6}"
-            f"{tally.ran_though_not_run:>12}{tally.crossed:>12}  {'; '.join(tally.quiet_after_s)}"
+            f"{name:<12}{tally.requests:>9}{results['answered']:>9}{results['refused']:>8}{results['ran']:>5}"
+            f"{results['unknown']:>8}{results['nothing']:>8}{tally.ran_twice:>6}"
+            f"{tally.ran_though_not_run:>12}{tally.crossed:>12}  {'; '.join(tally.ejection_times)}"
         )
     for name, tally in tallies.items():
         problems = ", ".join(f"{kind} {count}" for kind, count in sorted(tally.problems.items()))
@@ -199,7 +207,7 @@
 
 
 async def replay(trace: DemoTrace) -> dict[str, ServiceTally]:
-    """Replay one trace; return what became of each service's requests."""
+    """Replay one trace; return the counts of each service."""
     async with fleet_processes(_OUTPUT) as fleet:
         demo = Demo(trace, fleet)
         await demo.run()
@@ -211,15 +219,15 @@
 @click.command()
 @click.option("--trace", "name", default="laattanayte", help="A trace in traces/demo.")
 def main(name: str) -> None:
-    """Replay a demo trace and check what callers were told."""
+    """Replay a demo trace and check the results that clients got."""
     shutil.rmtree(_OUTPUT, ignore_errors=True)
     trace = read_trace(TRACES / f"{name}.jsonl")
     tallies = asyncio.run(replay(trace))
     print_table(trace.deployment, tallies)
-    broken = sum(t.ran_twice + t.ran_though_not_run + t.crossed for t in tallies.values())
-    unanswered = sum(1 for t in tallies.values() if not t.told["answered"])
-    click.echo("demo: " + ("promises broken" if broken or unanswered else "every promise held"))
-    sys.exit(1 if broken or unanswered else 0)
+    violations = sum(t.ran_twice + t.ran_though_not_run + t.crossed for t in tallies.values())
+    unanswered = sum(1 for t in tallies.values() if not t.results["answered"])
+    click.echo("demo: " + ("promises broken" if violations or unanswered else "every promise held"))
+    sys.exit(1 if violations or unanswered else 0)
 
 
 if __name__ == "__main__":
--- a/scaffolding/demo_trace.py
+++ b/scaffolding/demo_trace.py
@@ -1,7 +1,7 @@
-"""The demo's recorded traces: their form, and the recipe that recorded them.
+"""The demo's traces: their format, and the generator that recorded them.
 
 A trace is JSON lines: the deployment first, then requests and faults in the order of ``at_s``.
-``python -m scaffolding.demo_trace`` records both traces again, the same for the same seed.
+``python -m scaffolding.demo_trace`` writes both traces again; the seeds are fixed.
 """
 
 import json
@@ -13,7 +13,7 @@
 from pydantic import TypeAdapter
 
 TRACES = Path(__file__).resolve().parent.parent / "traces" / "demo"
-_DURATION_S = 24.0
+_TRACE_DURATION_S = 24.0
 _REQUESTS_PER_S = 45.0
 
 
@@ -26,7 +26,7 @@
     slots: int
     service_s: float
     floor: int
-    #: Share of the requests that go to this service, and whether they are idempotent.
+    #: Share of all requests that go to this service, and whether they are idempotent.
     share: float
     idempotent: bool
 
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoTrace:
-    """A whole trace."""
+    """A complete trace."""
 
     deployment: Deployment
     events: Sequence[Event]
@@ -92,7 +92,7 @@
 
 
 def read_trace(path: Path) -> DemoTrace:
-    """Read a recorded trace."""
+    """Read a trace file."""
     first, *rest = path.read_text().splitlines()
     events = TypeAdapter(list[Event]).validate_python([json.loads(line) for line in rest])
     return DemoTrace(TypeAdapter(Deployment).validate_json(first), events)
@@ -103,7 +103,7 @@
     weights = [service.share for service in deployment.services]
     while True:
         at_s += rng.expovariate(_REQUESTS_PER_S)
-        if at_s > _DURATION_S:
+        if at_s > _TRACE_DURATION_S:
             return
         service = rng.choices(deployment.services, weights)[0]
         caller = f"caller-{min(int(rng.paretovariate(1.2)), 20)}"
@@ -123,13 +123,13 @@
 
 
 def record(deployment: Deployment, seed: int) -> DemoTrace:
-    """Return the trace of one deployment."""
+    """Generate the trace of one deployment."""
     events = [*_requests(deployment, random.Random(seed)), *_faults(deployment)]
     return DemoTrace(deployment, sorted(events, key=lambda event: event.at_s))
 
 
 def main() -> None:
-    """Record both traces again."""
+    """Write both traces again."""
     TRACES.mkdir(parents=True, exist_ok=True)
     for deployment, seed in ((LAATTANAYTE, 11), (HOANG_LIEN, 12)):
         trace = record(deployment, seed)
--- a/scaffolding/listening.py
+++ b/scaffolding/listening.py
@@ -1,4 +1,4 @@
-"""Serves stand-ins on ports that the system chooses, and says which."""
+"""Serves stand-ins on free ports and prints the ports."""
 
 import asyncio
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 
 
 async def serve(apps: Mapping[str, web.Application]) -> None:
-    """Serve each application on a port of its own until cancelled; write the ports by name."""
+    """Serve each application on a port of its own until cancelled; print the ports by name."""
     ports = []
     for name, app in apps.items():
         runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
@@ -18,6 +18,6 @@
     await asyncio.Event().wait()
 
 
-def serve_and_say(app: web.Application) -> None:
-    """Serve one application until the process ends."""
+def serve_one(app: web.Application) -> None:
+    """Serve one application until the process ends; its port is named ``port``."""
     asyncio.run(serve({"port": app}))
--- a/scaffolding/processes.py
+++ b/scaffolding/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the separate processes of a demo or a test, each on ports the system chose."""
+"""Starts and stops the processes of a demo or a test, each on free ports."""
 
 import asyncio
 import contextlib
@@ -14,42 +14,45 @@
 import aiohttp
 import tomli_w
 
-#: The token of every team, on loopback only.
+#: The operator token of every team; used on loopback only.
 OPERATOR_TOKEN = "a token for loopback only"
-#: What a process writes once it listens: ports that the system chose.
-_LISTENING = re.compile(rb"listening .*?((?:\w+=\d+ ?)+)")
+#: The line that a process prints once it listens, with its ports.
+_LISTENING_LINE = re.compile(rb"listening .*?((?:\w+=\d+ ?)+)")
 
 
 @dataclass(slots=True)
 class Processes:
-    """The processes of one run, ended with it."""
+    """The processes of one run."""
 
     directory: Path
     running: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
 
     async def start(self, name: str, module: str, *arguments: str) -> None:
-        """Start a Python module as a process; its output goes to a file of its name."""
+        """Start a Python module as a process, with its output in ``NAME.log``."""
         with (self.directory / f"{name}.log").open("wb") as log:
             self.running[name] = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", module, *arguments, stdout=log, stderr=log
             )
 
     async def ports(self, name: str) -> dict[str, int]:
-        """Wait until a process has written that it listens; return its ports by name."""
+        """Wait until a process has printed that it listens; return its ports by name.
+
+        Raises ``ChildProcessError`` if the process ended, and ``TimeoutError`` after 30 s.
+        """
         log = self.directory / f"{name}.log"
         async with asyncio.timeout(30):
             while True:
-                whole_lines, _, _ = log.read_bytes().rpartition(b"\n")
-                found = _LISTENING.findall(whole_lines)
+                complete_lines, _, _ = log.read_bytes().rpartition(b"\n")
+                matches = _LISTENING_LINE.findall(complete_lines)
                 if self.running[name].returncode is not None:
                     raise ChildProcessError(f"{name} ended: {log.read_text()[-2000:]}")
-                if found:
-                    pairs = (pair.split("=") for pair in found[-1].decode().split())
+                if matches:
+                    pairs = (pair.split("=") for pair in matches[-1].decode().split())
                     return {key: int(value) for key, value in pairs}
                 await asyncio.sleep(0.02)
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process."""
         self.running[name].kill()
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -60,8 +63,8 @@
         """Wait for a process to end; return its exit code."""
         return await self.running[name].wait()
 
-    async def end_all(self) -> None:
-        """End every process that still runs."""
+    async def kill_all(self) -> None:
+        """Kill every process that still runs."""
         for process in self.running.values():
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceProcess:
-    """One ``egretraild`` process and its faces."""
+    """One ``egretraild`` process and its ports."""
 
     name: str
     availability_zone: str
@@ -80,7 +83,7 @@
     operator_port: int = 0
 
     def row(self) -> dict[str, Any]:
-        """Return the instance's row of the instance list."""
+        """Return the instance's row for the instance list."""
         return {
             "name": self.name,
             "service": "egretrail",
@@ -92,7 +95,7 @@
 
 @dataclass(slots=True)
 class FleetProcesses:
-    """Stand-ins of the platform and upstreams, and instances before them."""
+    """Instances, with stand-ins for the platform and the upstreams."""
 
     processes: Processes
     session: aiohttp.ClientSession
@@ -105,7 +108,7 @@
     upstreams: dict[str, list[int]] = field(default_factory=dict)
 
     async def start_platform(self) -> None:
-        """Start the store's and the list's stand-ins."""
+        """Start the stand-ins for the store and the instance list."""
         await self.processes.start("store", "scaffolding.store")
         await self.processes.start("instance-list", "scaffolding.instance_list")
         self.store_port = (await self.processes.ports("store"))["port"]
@@ -124,8 +127,8 @@
             f"--slots={slots}",
             f"--service-s={service_s}",
         )
-        found = await self.processes.ports(f"upstreams-{name}")
-        ports = [found[f"port{index}"] for index in range(count)]
+        ports_by_name = await self.processes.ports(f"upstreams-{name}")
+        ports = [ports_by_name[f"port{index}"] for index in range(count)]
         self.upstreams[name] = ports
         rows = [
             {
@@ -144,24 +147,24 @@
         key_file.write_text("a fleet key for loopback only")
         tokens_file = self.processes.directory / "tokens.toml"
         tokens_file.write_text("".join(f'{team} = "{OPERATOR_TOKEN}"\n' for team in self.teams))
-        added = range(len(self.instances), len(self.instances) + count)
-        for index in added:
+        new_indexes = range(len(self.instances), len(self.instances) + count)
+        for index in new_indexes:
             name, zone = f"entry-{index}", zones[index % len(zones)]
             settings = self.processes.directory / f"{name}.toml"
             settings.write_text(tomli_w.dumps(self._settings(name, zone, str(key_file))))
             self.instances.append(InstanceProcess(name, zone))
             await self.start_instance(index)
-        for index in added:
+        for index in new_indexes:
             await self.list_instance(index)
 
     async def start_instance(self, index: int) -> None:
-        """Start, or start again, one instance whose settings file stands."""
+        """Start, or restart, an instance whose settings file exists."""
         name = self.instances[index].name
         settings = self.processes.directory / f"{name}.toml"
         await self.processes.start(name, "egretrail.daemon", f"--settings={settings}")
 
     async def list_instance(self, index: int) -> None:
-        """Wait until an instance listens, and put it on the instance list."""
+        """Wait until an instance listens, and add it to the instance list."""
         name, zone = self.instances[index].name, self.instances[index].availability_zone
         ports = await self.processes.ports(name)
         self.instances[index] = InstanceProcess(
@@ -169,25 +172,25 @@
         )
         await self.post(self.list_port, "/control", {"rows": [self.instances[index].row()]})
 
-    async def until_ready(self) -> None:
-        """Wait until every instance says that it is ready."""
+    async def wait_until_ready(self) -> None:
+        """Wait until every instance reports that it is ready."""
         for instance in self.instances:
-            await self.until_answers(f"http://127.0.0.1:{instance.operator_port}/readyz")
+            await self.wait_until_ok(f"http://127.0.0.1:{instance.operator_port}/readyz")
 
-    async def until_in_force(self, path: str) -> None:
+    async def wait_until_in_force(self, path: str) -> None:
         """Wait until every instance resolves a path to addresses that all have a key prefix."""
         query = urllib.parse.urlencode({"path": path})
         for instance in self.instances:
             resolve = f"/.well-known/egretrail/resolve?{query}"
-            await self.until_answers(f"http://127.0.0.1:{instance.caller_port}{resolve}")
+            await self.wait_until_ok(f"http://127.0.0.1:{instance.caller_port}{resolve}")
             while True:
                 addresses = (await self.get(instance.caller_port, resolve))["addresses"]
                 if all(address["key_prefix"] for address in addresses):
                     break
                 await asyncio.sleep(0.1)
 
-    async def until_answers(self, url: str) -> None:
-        """Wait until a URL answers with status 200, for at most a minute."""
+    async def wait_until_ok(self, url: str) -> None:
+        """Wait until a URL responds with status 200, for at most 30 s."""
         async with asyncio.timeout(30):
             while True:
                 with contextlib.suppress(aiohttp.ClientError):
@@ -197,12 +200,12 @@
                 await asyncio.sleep(0.05)
 
     async def post(self, port: int, path: str, document: Mapping[str, Any]) -> None:
-        """Tell a stand-in something."""
+        """Post a JSON document to a stand-in."""
         async with self.session.post(f"http://127.0.0.1:{port}{path}", json=document) as response:
             response.raise_for_status()
 
     async def get(self, port: int, path: str) -> Any:
-        """Ask a stand-in something."""
+        """Return the JSON document at a path of a stand-in or an instance."""
         async with self.session.get(f"http://127.0.0.1:{port}{path}") as response:
             return await response.json()
 
@@ -227,11 +230,11 @@
 
 @contextlib.asynccontextmanager
 async def fleet_processes(directory: Path) -> AsyncIterator[FleetProcesses]:
-    """Hold the processes of one run and end them with it."""
+    """Yield the processes of one run and kill them at its end."""
     directory.mkdir(parents=True, exist_ok=True)
     processes = Processes(directory)
     async with aiohttp.ClientSession() as session:
         try:
             yield FleetProcesses(processes, session)
         finally:
-            await processes.end_all()
+            await processes.kill_all()
--- a/scaffolding/store.py
+++ b/scaffolding/store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's store: the tests' in-memory store behind its HTTP/JSON form.
+"""A stand-in for the platform's store: the tests' in-memory store with its HTTP/JSON API.
 
-``POST /control`` plays faults: ``out``, ``delay_s``, ``lose_replies``. ``GET /counts`` tells the
-calls by kind, a waiting watch as one.
+``POST /control`` injects faults: ``out``, ``delay_s``, ``lose_replies``. ``GET /counts`` returns
+the number of calls by kind; a watch that waits counts once.
 """
 
 import dataclasses
@@ -19,15 +19,15 @@
     WriteUnknown,
 )
 from egretrail.testing import FakeStore
-from scaffolding.listening import serve_and_say
+from scaffolding.listening import serve_one
 
-_STORE = web.AppKey("store", FakeStore)
+_STORE_KEY = web.AppKey("store", FakeStore)
 
 
 def store_app() -> web.Application:
-    """Return the stand-in as an application."""
+    """Return the web application."""
     app = web.Application(client_max_size=1 << 20)
-    app[_STORE] = FakeStore()
+    app[_STORE_KEY] = FakeStore()
     app.add_routes(
         [
             web.get("/v1/kv/{path:.+}", _get),
@@ -45,61 +45,69 @@
 
 
 async def _get(request: web.Request) -> web.Response:
-    found = await request.app[_STORE].get(request.match_info["path"])
-    if isinstance(found, Err):
-        return _failed(found.err_value)
-    if found.ok_value is None:
+    result = await request.app[_STORE_KEY].get(request.match_info["path"])
+    if isinstance(result, Err):
+        return _failure_response(result.err_value)
+    if result.ok_value is None:
         return web.json_response({}, status=404)
-    return _document(found.ok_value)
+    return _json_response(result.ok_value)
 
 
 async def _put(request: web.Request) -> web.Response:
-    written = await request.app[_STORE].put(
+    result = await request.app[_STORE_KEY].put(
         request.match_info["path"],
         await request.text(),
         int(request.query["revision"]),
         request.query.get("lease"),
     )
-    if isinstance(written, Err):
-        return _failed(written.err_value)
-    return web.json_response({"revision": written.ok_value})
+    if isinstance(result, Err):
+        return _failure_response(result.err_value)
+    return web.json_response({"revision": result.ok_value})
 
 
 async def _delete(request: web.Request) -> web.Response:
     revision = int(request.query["revision"])
-    deleted = await request.app[_STORE].delete(request.match_info["path"], revision)
-    if isinstance(deleted, Err):
-        return _failed(deleted.err_value)
-    return web.json_response({"revision": deleted.ok_value})
+    result = await request.app[_STORE_KEY].delete(request.match_info["path"], revision)
+    if isinstance(result, Err):
+        return _failure_response(result.err_value)
+    return web.json_response({"revision": result.ok_value})
 
 
 async def _list(request: web.Request) -> web.Response:
-    found = await request.app[_STORE].snapshot(request.query.get("prefix", ""))
-    return _failed(found.err_value) if isinstance(found, Err) else _document(found.ok_value)
+    result = await request.app[_STORE_KEY].snapshot(request.query.get("prefix", ""))
+    return (
+        _failure_response(result.err_value)
+        if isinstance(result, Err)
+        else _json_response(result.ok_value)
+    )
 
 
 async def _watch(request: web.Request) -> web.Response:
     query = request.query
-    events = await request.app[_STORE].watch(
+    events = await request.app[_STORE_KEY].watch(
         query.get("prefix", ""), int(query["after"]), float(query["wait_s"])
     )
-    return _failed(events.err_value) if isinstance(events, Err) else _document(events.ok_value)
+    return (
+        _failure_response(events.err_value)
+        if isinstance(events, Err)
+        else _json_response(events.ok_value)
+    )
 
 
 async def _lease(request: web.Request) -> web.Response:
-    granted = await request.app[_STORE].grant_lease(float(request.query["ttl_s"]))
-    if isinstance(granted, Err):
-        return _failed(granted.err_value)
-    return web.json_response({"lease": granted.ok_value})
+    result = await request.app[_STORE_KEY].grant_lease(float(request.query["ttl_s"]))
+    if isinstance(result, Err):
+        return _failure_response(result.err_value)
+    return web.json_response({"lease": result.ok_value})
 
 
 async def _renew(request: web.Request) -> web.Response:
-    renewed = await request.app[_STORE].renew_lease(request.match_info["lease"])
-    return _failed(renewed.err_value) if isinstance(renewed, Err) else web.json_response({})
+    result = await request.app[_STORE_KEY].renew_lease(request.match_info["lease"])
+    return _failure_response(result.err_value) if isinstance(result, Err) else web.json_response({})
 
 
 async def _control(request: web.Request) -> web.Response:
-    store = request.app[_STORE]
+    store = request.app[_STORE_KEY]
     document = await request.json()
     store.delay_s = float(document.get("delay_s", store.delay_s))
     store.lose_replies = int(document.get("lose_replies", store.lose_replies))
@@ -108,16 +116,16 @@
 
 
 async def _counts(request: web.Request) -> web.Response:
-    store = request.app[_STORE]
+    store = request.app[_STORE_KEY]
     paths = {f"path {part}": count for part, count in store.path_calls.items()}
     return web.json_response({**store.calls, **paths})
 
 
-def _document(value: Entry | Snapshot | WatchEvents) -> web.Response:
+def _json_response(value: Entry | Snapshot | WatchEvents) -> web.Response:
     return web.json_response(dataclasses.asdict(value))
 
 
-def _failed(failure: PlatformFailure) -> web.Response:
+def _failure_response(failure: PlatformFailure) -> web.Response:
     match failure:
         case RevisionConflict():
             return web.json_response({"revision": failure.actual_revision}, status=409)
@@ -130,4 +138,4 @@
 
 
 if __name__ == "__main__":
-    serve_and_say(store_app())
+    serve_one(store_app())
--- a/scaffolding/tests/test_processes.py
+++ b/scaffolding/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes under kills, freezes and stops. They assert safety and wait on events only."""
+"""Real processes under kills, pauses and stops. The tests assert safety and wait for events."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 import aiohttp
 
 from egretrail.testing import EgretrailTestCase
-from scaffolding.caller import Caller, Told
+from scaffolding.caller import Client, WorkResult
 from scaffolding.demo import put_settings
 from scaffolding.demo_trace import Deployment, ServiceLine
 from scaffolding.processes import FleetProcesses, Processes, fleet_processes
@@ -26,8 +26,8 @@
 
 
 class PortsTest(EgretrailTestCase):
-    def test_a_line_that_is_not_whole_yet_names_no_ports(self) -> None:
-        """A demo failed for a port that its upstreams' line had not named yet."""
+    def test_an_incomplete_line_yields_no_ports(self) -> None:
+        """Ports read from a partly written line are missing or cut short."""
 
         async def run() -> dict[str, int]:
             directory = Path(tempfile.mkdtemp())
@@ -44,31 +44,31 @@
 
 
 class Shop:
-    """A fleet of three instances before three upstreams, and one caller."""
+    """A fleet of three instances and three upstreams, and one client."""
 
     def __init__(self, fleet: FleetProcesses) -> None:
         self.fleet = fleet
 
     async def start(self) -> None:
-        """Start everything and wait until every instance gives out key prefixes."""
+        """Start all processes and wait until every instance returns key prefixes."""
         fleet = self.fleet
         await fleet.start_platform()
         await fleet.start_upstreams("team/shop", _ZONES, 3, _LINE.slots, _LINE.service_s)
         await fleet.start_instances(_ZONES, 3)
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         await put_settings(fleet, _DEPLOYMENT, _LINE)
-        for asked in range(3):
-            # Every instance sees the whole group: losses are told to the members that are known.
-            while not all(address["key_prefix"] for address in await self.addresses(asked)):
+        for at in range(3):
+            # Every instance knows the whole group: losses are reported only to known members.
+            while not all(address["key_prefix"] for address in await self.addresses(at)):
                 await asyncio.sleep(0.05)
 
-    async def addresses(self, asked: int = 0) -> list[dict[str, Any]]:
-        """Resolve at one instance; fewer than three addresses are waited out."""
-        port = self.fleet.instances[asked].caller_port
+    async def addresses(self, at: int = 0) -> list[dict[str, Any]]:
+        """Resolve at one instance; wait until all instances are among the addresses."""
+        port = self.fleet.instances[at].caller_port
         while True:
-            answer = await self.fleet.get(port, f"/.well-known/egretrail/resolve?path={_PATH}")
-            if len(answer["addresses"]) == len(self.fleet.instances):
-                return list(answer["addresses"])
+            resolved = await self.fleet.get(port, f"/.well-known/egretrail/resolve?path={_PATH}")
+            if len(resolved["addresses"]) == len(self.fleet.instances):
+                return list(resolved["addresses"])
             await asyncio.sleep(0.05)
 
     async def key(self, home: int, suffix: str = "s1") -> str:
@@ -80,7 +80,7 @@
     async def order(
         self, at: int, key: str, body: bytes = _BODY, caller: str = "one", path: str = _PATH
     ) -> tuple[int, bytes, str]:
-        """Send the order; return status, body and egretrail's own outcome, if it is one."""
+        """Send the order; return status, body and the outcome header (empty if there is none)."""
         headers = {"Idempotency-Key": key, "X-Work": "w", "Authorization": caller}
         url = f"http://127.0.0.1:{self.fleet.instances[at].caller_port}{path}"
         timeout = aiohttp.ClientTimeout(total=30)
@@ -94,17 +94,17 @@
             )
 
     async def set_mode(self, **control: object) -> None:
-        """Play a fault on every upstream."""
+        """Inject a fault at every upstream."""
         for port in self.fleet.upstreams["shop"]:
             await self.fleet.post(port, "/control", control)
 
     async def runs(self) -> int:
-        """Return how often the order ran, over all upstreams."""
+        """Return how often the order ran on all upstreams together."""
         counts = [await self.fleet.get(port, "/runs") for port in self.fleet.upstreams["shop"]]
         return sum(count["runs"].get("w", 0) for count in counts)
 
-    async def until_run(self) -> None:
-        """Wait until an upstream works on the order."""
+    async def wait_until_run(self) -> None:
+        """Wait until an upstream has begun the order."""
         while not await self.runs():
             await asyncio.sleep(0.02)
 
@@ -112,12 +112,12 @@
         """Send a signal to an instance."""
         self.fleet.processes.signal(self.fleet.instances[instance].name, number)
 
-    async def ended(self, instance: int) -> int:
-        """Wait for an instance to end."""
+    async def wait_for_exit(self, instance: int) -> int:
+        """Wait for an instance to exit; return its exit code."""
         return await self.fleet.processes.wait(self.fleet.instances[instance].name)
 
     def log(self, instance: int) -> str:
-        """Return what an instance has logged."""
+        """Return an instance's log."""
         name = self.fleet.instances[instance].name
         return (self.fleet.processes.directory / f"{name}.log").read_text()
 
@@ -149,9 +149,9 @@
         async def act(shop: Shop) -> None:
             key = await shop.key(home=0)
             first = await shop.order(0, key)
-            await asyncio.sleep(3.0)  # the outcome is on its way to the witness
+            await asyncio.sleep(3.0)  # time for the outcome to reach the witness
             shop.signal(0, signal.SIGKILL)
-            await shop.ended(0)
+            await shop.wait_for_exit(0)
             self.assertIn((await shop.order(1, key))[1:], [first[1:], (b"", "unknown")])
             self.assertEqual(1, await shop.runs())
 
@@ -161,13 +161,13 @@
         async def act(shop: Shop) -> None:
             await shop.set_mode(mode="silent")
             key = await shop.key(home=0)
-            asking = asyncio.create_task(shop.order(0, key))
-            await shop.until_run()
+            sending = asyncio.create_task(shop.order(0, key))
+            await shop.wait_until_run()
             shop.signal(0, signal.SIGKILL)
-            await asyncio.gather(asking, return_exceptions=True)
+            await asyncio.gather(sending, return_exceptions=True)
             await shop.set_mode(mode="good")
-            told = [await shop.order(at, key) for at in (1, 2)]
-            self.assertEqual(["unknown", "unknown"], [outcome for _, _, outcome in told])
+            replies = [await shop.order(at, key) for at in (1, 2)]
+            self.assertEqual(["unknown", "unknown"], [outcome for _, _, outcome in replies])
             self.assertEqual(1, await shop.runs())
 
         self._with_shop(act)
@@ -189,13 +189,13 @@
         async def act(shop: Shop) -> None:
             await shop.set_mode(mode="silent")
             key = await shop.key(home=0)
-            asking = asyncio.create_task(shop.order(0, key))
-            await shop.until_run()
+            sending = asyncio.create_task(shop.order(0, key))
+            await shop.wait_until_run()
             shop.signal(0, signal.SIGSTOP)
             _, _, outcome = await shop.order(1, key)
             self.assertEqual("unknown", outcome)
             shop.signal(0, signal.SIGCONT)
-            await asking
+            await sending
             self.assertEqual(1, await shop.runs())
 
         self._with_shop(act)
@@ -206,9 +206,9 @@
             _, body, _ = await shop.order(0, key)
             for at in (0, 1):
                 for other in ({"body": b"two boards"}, {"caller": "two"}):
-                    status, told, _ = await shop.order(at, key, **other)
+                    status, other_body, _ = await shop.order(at, key, **other)
                     self.assertEqual(422, status)
-                    self.assertNotIn(body, told)
+                    self.assertNotIn(body, other_body)
             self.assertEqual(1, await shop.runs())
 
         self._with_shop(act)
@@ -219,12 +219,12 @@
         async def act(shop: Shop) -> None:
             await shop.set_mode(mode="slow")
             key = await shop.key(home=0)
-            asking = asyncio.create_task(shop.order(0, key))
-            await shop.until_run()
+            sending = asyncio.create_task(shop.order(0, key))
+            await shop.wait_until_run()
             shop.signal(0, signal.SIGTERM)
-            first = await asking
+            first = await sending
             self.assertEqual(200, first[0])
-            self.assertEqual(0, await shop.ended(0))
+            self.assertEqual(0, await shop.wait_for_exit(0))
             self.assertEqual(first, await shop.order(1, key))
             self.assertEqual(1, await shop.runs())
 
@@ -234,14 +234,14 @@
         async def act(shop: Shop) -> None:
             await shop.set_mode(mode="silent")
             key = await shop.key(home=0)
-            asking = asyncio.create_task(shop.order(0, key))
-            await shop.until_run()
+            sending = asyncio.create_task(shop.order(0, key))
+            await shop.wait_until_run()
             shop.signal(0, signal.SIGTERM)
             while "event=leaving" not in shop.log(0):
                 await asyncio.sleep(0.02)
             shop.signal(0, signal.SIGTERM)
-            self.assertEqual(1, await shop.ended(0))
-            await asyncio.gather(asking, return_exceptions=True)
+            self.assertEqual(1, await shop.wait_for_exit(0))
+            await asyncio.gather(sending, return_exceptions=True)
             self.assertIn(f'event=request_cut request="POST {_PATH}"', shop.log(0))
 
         self._with_shop(act)
@@ -257,24 +257,24 @@
             while f"POST {_PATH}" not in await self._in_flight(shop):
                 await asyncio.sleep(0.02)
             shop.signal(0, signal.SIGTERM)
-            await self._until_refusing(port)
+            await self._wait_until_refusing(port)
             writer.write(_BODY[3:])
             self.assertIn(b"200", await reader.readline())
             writer.close()
-            self.assertEqual(0, await shop.ended(0))
+            self.assertEqual(0, await shop.wait_for_exit(0))
             self.assertEqual(1, await shop.runs())
 
         self._with_shop(act)
 
     async def _in_flight(self, shop: Shop) -> str:
-        """Return the instance's gauge of requests in flight as the one request's name."""
+        """Return the order's name if the instance's gauge shows one request in flight, else ""."""
         port = shop.fleet.instances[0].operator_port
         async with shop.fleet.session.get(f"http://127.0.0.1:{port}/metrics") as response:
             shown = await response.text()
         return f"POST {_PATH}" if "egretrail_requests_in_flight 1.0" in shown else ""
 
-    async def _until_refusing(self, port: int) -> None:
-        """Wait until the instance takes no connections any more."""
+    async def _wait_until_refusing(self, port: int) -> None:
+        """Wait until the instance refuses connections."""
         while True:
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -285,28 +285,28 @@
 
     def test_callers_that_kept_their_resolve_answer_are_answered_through_a_stop(self) -> None:
         async def act(shop: Shop) -> None:
-            entries = [("127.0.0.1", one.caller_port) for one in shop.fleet.instances]
-            told: list[Told] = []
+            resolvers = [("127.0.0.1", instance.caller_port) for instance in shop.fleet.instances]
+            results: list[WorkResult] = []
             stopped = asyncio.Event()
 
             async def browse(number: int) -> None:
                 rng = random.Random(number)
-                caller = Caller(shop.fleet.session, f"caller-{number}", entries, rng)
+                client = Client(shop.fleet.session, f"caller-{number}", resolvers, rng)
                 for item in itertools.count():
                     method = "GET" if number % 2 else "POST"
                     work = f"w{number}-{item}"
-                    told.append(await caller.send(method, _PATH, work, method == "GET", _BODY))
+                    results.append(await client.send(method, _PATH, work, method == "GET", _BODY))
                     if stopped.is_set():
                         return
 
             browsing = [asyncio.create_task(browse(number)) for number in range(4)]
-            while len(told) < 40:
+            while len(results) < 40:
                 await asyncio.sleep(0.02)
             shop.signal(0, signal.SIGTERM)
-            self.assertEqual(0, await shop.ended(0))
+            self.assertEqual(0, await shop.wait_for_exit(0))
             stopped.set()
             await asyncio.gather(*browsing)
-            self.assertEqual({"answered"}, {one.result for one in told})
+            self.assertEqual({"answered"}, {result.kind for result in results})
 
         self._with_shop(act)
 
@@ -322,9 +322,9 @@
                         self.assertIn(response.status, (422, 502))
                 else:
                     await shop.order(at, await shop.key(at, f"p{number}"), path="/shop/poison")
-            lost = [await shop.fleet.get(port, "/runs") for port in shop.fleet.upstreams["shop"]]
-            # A GET and a POST are two requests; each may be lost with two upstreams.
-            self.assertLessEqual(sum(count["requests"] for count in lost), 4)
+            counts = [await shop.fleet.get(port, "/runs") for port in shop.fleet.upstreams["shop"]]
+            # The GET and the POST are two requests; each may lose two upstreams.
+            self.assertLessEqual(sum(count["requests"] for count in counts), 4)
 
         self._with_shop(act)
 
@@ -339,7 +339,7 @@
                 self.assertEqual(200, status)
             after = await shop.fleet.get(shop.fleet.store_port, "/counts")
             self.assertEqual(50, await shop.runs())
-            # The rights of floors are registered apart from requests, a few times a service.
+            # Ejection rights are registered independently of requests, a few times per service.
             kinds = {name for name in after if name.startswith("path ")}
             self.assertLessEqual(kinds, {"path egretrail", "path floors"})
             self.assertEqual(before.get("path egretrail"), after.get("path egretrail"))
--- a/scaffolding/tests/test_settings_processes.py
+++ b/scaffolding/tests/test_settings_processes.py
@@ -1,4 +1,4 @@
-"""Settings in real processes: operators race, and an instance is frozen meanwhile."""
+"""Settings changes in real processes: racing operators, a paused instance, a store outage."""
 
 import asyncio
 import signal
@@ -12,7 +12,7 @@
 
 
 async def _get(shop: Shop, at: int) -> Any:
-    """Return what one instance says of the setting."""
+    """Return the setting as one instance reports it."""
     url = f"http://127.0.0.1:{shop.fleet.instances[at].operator_port}{_PATH}"
     async with shop.fleet.session.get(url, headers=_AUTHORIZATION) as response:
         return await response.json()
--- a/scaffolding/upstream.py
+++ b/scaffolding/upstream.py
@@ -1,10 +1,10 @@
-"""Stand-ins of one service's upstreams, each on a port of its own.
+"""Stand-ins for one service's upstreams, each on a port of its own.
 
-An upstream has slots and a short backlog, sheds above them, starts cold, drains, accepts a deadline
-and takes a closed connection as cancellation. ``POST /control`` plays faults on one upstream:
+An upstream has slots and a short backlog, sheds requests beyond them, starts cold, can drain,
+honours a deadline and treats a closed connection as cancellation. ``POST /control`` injects faults:
 ``mode`` is one of ``good``, ``slow``, ``failing``, ``silent``, ``truncating``, ``surplus``,
 ``late`` and ``crashing``; ``share`` is the share of requests the mode applies to; ``draining`` and
-``lying_load`` are switches. ``GET /runs`` tells how often each piece of work ran, by its
+``lying_load`` are booleans. ``GET /runs`` returns how often each piece of work ran, by its
 ``X-Work`` header.
 """
 
@@ -18,20 +18,20 @@
 
 from scaffolding.listening import serve
 
-#: How much slower a slow upstream is.
+#: Factor by which a slow upstream is slower.
 _SLOW_FACTOR = 10.0
-#: Requests that wait for a slot before the upstream sheds.
+#: Number of requests that may wait for a slot before the upstream sheds.
 _BACKLOG = 2
-#: A late upstream answers this long after the deadline that it was given.
+#: A late upstream responds this long after the request's deadline.
 _LATE_S = 0.2
-#: A cold upstream is this much slower at first, and warms over this long.
+#: Factor by which a cold upstream is slower at first, and the time over which it warms up.
 _COLD_FACTOR = 3.0
-_COLD_S = 2.0
+_WARMUP_S = 2.0
 
 
 @dataclass(slots=True)
 class UpstreamStandIn:
-    """One upstream and the fault it plays."""
+    """One upstream and its injected fault."""
 
     name: str
     slots: int
@@ -45,17 +45,17 @@
     requests: int = 0
     started_s: float = -1.0
     runs: Counter[str] = field(default_factory=Counter)
-    free: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(1))
+    free_slots: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(1))
 
     def app(self) -> web.Application:
-        """Return the upstream as an application."""
-        self.free = asyncio.Semaphore(self.slots)
+        """Return the web application."""
+        self.free_slots = asyncio.Semaphore(self.slots)
         app = web.Application(client_max_size=1 << 26)
         app.router.add_post("/control", self._control)
         app.router.add_get("/runs", self._runs)
         app.router.add_get("/health", self._health)
         app.router.add_route("*", "/{path:.*}", self._serve)
-        app.on_response_prepare.append(_repeat_request_id)
+        app.on_response_prepare.append(_echo_request_id)
         return app
 
     async def _control(self, request: web.Request) -> web.Response:
@@ -82,7 +82,7 @@
             return web.Response(status=503, headers={"X-Upstream-State": "shed"})
         self.in_flight += 1
         try:
-            async with self.free:
+            async with self.free_slots:
                 return await self._work(request, body)
         finally:
             self.in_flight -= 1
@@ -109,23 +109,23 @@
         if mode == "crashing" or (mode == "good" and "poison" in request.path):
             _abort(request)
         if mode in ("truncating", "surplus"):
-            return await _miscounted(request, text, mode)
+            return await _send_wrong_length(request, text, mode)
         return web.Response(body=text)
 
     def _cold_factor(self) -> float:
         now_s = asyncio.get_running_loop().time()
         if self.started_s < 0:
             self.started_s = now_s
-        left = max(0.0, 1.0 - (now_s - self.started_s) / _COLD_S)
-        return 1.0 + (_COLD_FACTOR - 1.0) * left
+        cold_share = max(0.0, 1.0 - (now_s - self.started_s) / _WARMUP_S)
+        return 1.0 + (_COLD_FACTOR - 1.0) * cold_share
 
 
-async def _repeat_request_id(request: web.Request, response: web.StreamResponse) -> None:
+async def _echo_request_id(request: web.Request, response: web.StreamResponse) -> None:
     response.headers["X-Request-Id"] = request.headers.get("X-Request-Id", "")
 
 
-async def _miscounted(request: web.Request, text: bytes, mode: str) -> web.StreamResponse:
-    """Answer with fewer or more bytes than the header tells."""
+async def _send_wrong_length(request: web.Request, text: bytes, mode: str) -> web.StreamResponse:
+    """Send fewer or more bytes than the Content-Length header states."""
     transport = request.transport
     assert transport is not None
     length = len(text) + 10 if mode == "truncating" else len(text)
--- a/src/egretrail/testing/__init__.py
+++ b/src/egretrail/testing/__init__.py
@@ -1,4 +1,4 @@
-"""The base test class and the fakes that every package's tests share; not installed for use."""
+"""The base test class and the fakes that all packages' tests share; not part of the product."""
 
 from egretrail.testing._base import EgretrailTestCase, cases
 from egretrail.testing._fake_instance_list import FakeInstanceList, listed
--- a/src/egretrail/testing/_fake_network.py
+++ b/src/egretrail/testing/_fake_network.py
@@ -1,4 +1,4 @@
-"""An in-memory peer network with one-way cuts, delays, losses, doubles and frozen instances."""
+"""An in-memory peer network with one-way cuts, delay, loss, duplication and paused instances."""
 
 import asyncio
 import random
@@ -16,21 +16,22 @@
 
 
 class FakeNetwork:
-    """The links between fake peers; every message passes through the real codec."""
+    """The links between fake peers; every message is encoded and decoded by the real codec."""
 
     def __init__(self, seed: int = 0, latency_s: float = 0.001) -> None:
         self.random = random.Random(seed)
-        #: One-way delay of each message; a test may replace it by a function of its own.
+        #: Returns the one-way delay from one instance to another, in seconds; tests may replace it.
         self.latency_s: Callable[[InstanceName, InstanceName], float] = lambda _from, _to: latency_s
-        #: Pairs (from, to) between which every message is lost, silently.
+        #: Pairs (from, to) between which every message is dropped without an error.
         self.cut: set[tuple[InstanceName, InstanceName]] = set()
-        #: Share of messages lost, and delivered twice.
+        #: Share of messages that are lost, and share that are delivered twice.
         self.loss_share = 0.0
         self.double_share = 0.0
-        #: Instances that are paused: what reaches them waits until they are resumed.
+        #: Paused instances, each with the event that resumes it. Messages from and to a paused
+        #: instance wait for that event.
         self.frozen: dict[InstanceName, asyncio.Event] = {}
         self.peers: dict[InstanceName, FakePeer] = {}
-        #: Messages delivered, by type name.
+        #: Number of delivered messages by type name.
         self.delivered: dict[str, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -45,19 +46,21 @@
         self.peers.pop(name, None)
 
     def cut_both(self, one: InstanceName, other: InstanceName) -> None:
-        """Lose every message between two instances."""
+        """Drop every message between two instances, in both directions."""
         self.cut |= {(one, other), (other, one)}
 
     def deliver(self, sender: Incarnation, to: InstanceName, act: Callable[[], Any]) -> None:
-        """Deliver by calling ``act`` after the link's delay, unless the message is lost."""
+        """Call ``act`` after the link's delay, unless the message is lost; twice if duplicated."""
         copies = 2 if self.random.random() < self.double_share else 1
         for _ in range(copies):
             if self.random.random() >= self.loss_share:
-                task = asyncio.get_running_loop().create_task(self._carry(sender, to, act))
+                task = asyncio.get_running_loop().create_task(self._deliver_copy(sender, to, act))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _carry(self, sender: Incarnation, to: InstanceName, act: Callable[[], Any]) -> None:
+    async def _deliver_copy(
+        self, sender: Incarnation, to: InstanceName, act: Callable[[], Any]
+    ) -> None:
         await asyncio.sleep(self.latency_s(sender.instance, to))
         if (sender.instance, to) in self.cut:
             return
@@ -79,7 +82,7 @@
         self._handlers: dict[type[Message], Handler[Any]] = {}
 
     def on(self, cls: type[M], handler: Handler[M]) -> None:
-        """Let ``handler`` act on every message of one type."""
+        """Register the handler of a message type."""
         self._handlers[cls] = handler
 
     async def ask(
@@ -91,11 +94,11 @@
         reply: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._deliver(peer, body, reply)
         try:
-            answer = await asyncio.wait_for(reply, timeout_s)
+            received = await asyncio.wait_for(reply, timeout_s)
         except TimeoutError:
             return Err(PeerUnresponsive(peer, timeout_s))
         return (
-            Ok(answer) if isinstance(answer, reply_type) else Err(PeerUnresponsive(peer, timeout_s))
+            Ok(received) if isinstance(received, reply_type) else Err(PeerUnresponsive(peer, timeout_s))
         )
 
     def send(self, peer: InstanceName, body: Message) -> None:
@@ -105,27 +108,29 @@
     def _deliver(
         self, peer: InstanceName, body: Message, reply: asyncio.Future[Message] | None
     ) -> None:
-        carried = _through_codec(body)
+        message = _encode_and_decode(body)
 
         async def arrive() -> None:
             target = self._network.peers.get(peer)
-            handler = target._handlers.get(type(carried)) if target is not None else None
+            handler = target._handlers.get(type(message)) if target is not None else None
             if target is None or handler is None:
                 return
             counts = self._network.delivered
-            counts[type(carried).__name__] = counts.get(type(carried).__name__, 0) + 1
-            answer = await handler(self.own, carried)
-            if answer is not None and reply is not None:
-                back = _through_codec(answer)
-                self._network.deliver(target.own, self.own.instance, lambda: _settle(reply, back))
+            counts[type(message).__name__] = counts.get(type(message).__name__, 0) + 1
+            response = await handler(self.own, message)
+            if response is not None and reply is not None:
+                decoded = _encode_and_decode(response)
+                self._network.deliver(
+                    target.own, self.own.instance, lambda: _settle(reply, decoded)
+                )
 
         self._network.deliver(self.own, peer, arrive)
 
 
-def _settle(reply: asyncio.Future[Message], answer: Message) -> None:
+def _settle(reply: asyncio.Future[Message], message: Message) -> None:
     if not reply.done():
-        reply.set_result(answer)
+        reply.set_result(message)
 
 
-def _through_codec(body: Message) -> Message:
+def _encode_and_decode(body: Message) -> Message:
     return decode_frame(encode_frame(Frame(FrameKind.NOTIFY, 0, body))).unwrap().body
--- a/src/egretrail/testing/_fake_store.py
+++ b/src/egretrail/testing/_fake_store.py
@@ -1,4 +1,4 @@
-"""An in-memory store with outages, slowness and writes whose reply is lost."""
+"""An in-memory store with outages, delays and writes whose reply is lost."""
 
 import asyncio
 from collections import Counter
@@ -23,30 +23,30 @@
 
 
 class FakeStore(Store):
-    """The platform's store as the tests see it; several clients may share one."""
+    """An in-memory implementation of the platform's store; clients may share an instance."""
 
     def __init__(self) -> None:
         self.revision = 0
         self.entries: dict[str, Entry] = {}
         self.history: list[Entry] = []
-        #: Calls by kind, a waiting watch as one.
+        #: Number of calls by kind; a watch that waits counts once.
         self.calls: Counter[str] = Counter()
-        #: Reads and writes of single paths, by the path's first part.
+        #: Number of reads and writes of single paths, by the path's first segment.
         self.path_calls: Counter[str] = Counter()
-        #: While set, every call fails without effect.
+        #: While set, the store is unavailable: every call fails without effect.
         self.out = False
-        #: Each call takes this long.
+        #: Delay of each call, in seconds.
         self.delay_s = 0.0
-        #: This many next writes take effect and lose their reply.
+        #: Number of following writes that take effect but whose reply is lost.
         self.lose_replies = 0
         self._leases: dict[str, tuple[float, float]] = {}
         self._lease_of: dict[str, str] = {}
         self._changed = asyncio.Event()
 
     async def get(self, path: str) -> Result[Entry | None, PlatformFailure]:
-        """Read one path; None when it does not exist."""
+        """Read one path; None if it does not exist."""
         self.path_calls[path.partition("/")[0]] += 1
-        if not await self._admit("get"):
+        if not await self._begin_call("get"):
             return Err(StoreUnavailable(f"get {path}", "outage"))
         return Ok(self.entries.get(path))
 
@@ -54,10 +54,10 @@
         self, path: str, value: str, expected_revision: int, lease_id: str | None = None
     ) -> Result[int, PlatformFailure]:
         """Write a path if it is at ``expected_revision`` (0: absent); return its new revision."""
-        written = await self._write("put", path, value, expected_revision)
+        result = await self._write("put", path, value, expected_revision)
         if lease_id is not None:
             self._lease_of[path] = lease_id
-        return written
+        return result
 
     async def delete(self, path: str, expected_revision: int) -> Result[int, PlatformFailure]:
         """Delete a path if it is at ``expected_revision``; return the revision of the deletion."""
@@ -67,16 +67,16 @@
         self, prefix: str, *, stale: bool = False
     ) -> Result[Snapshot, PlatformFailure]:
         """Read all paths under a prefix."""
-        if not await self._admit("stale snapshot" if stale else "snapshot"):
+        if not await self._begin_call("stale snapshot" if stale else "snapshot"):
             return Err(StoreUnavailable(f"snapshot {prefix}", "outage"))
-        found = [e for path, e in sorted(self.entries.items()) if path.startswith(prefix)]
-        return Ok(Snapshot(found, self.revision))
+        entries = [e for path, e in sorted(self.entries.items()) if path.startswith(prefix)]
+        return Ok(Snapshot(entries, self.revision))
 
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
     ) -> Result[WatchEvents, PlatformFailure]:
         """Wait for changes under a prefix after a revision, for at most ``wait_s``."""
-        if not await self._admit("watch"):
+        if not await self._begin_call("watch"):
             return Err(StoreUnavailable(f"watch {prefix}", "outage"))
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_s
@@ -90,19 +90,19 @@
                 for entry in self.history
                 if entry.revision > after_revision and entry.path.startswith(prefix)
             ]
-            left_s = deadline_s - loop.time()
-            # A rest below the clock's resolution would never pass.
-            if events or left_s <= 1e-6:
+            remaining_s = deadline_s - loop.time()
+            # A remaining time below the clock's resolution would never elapse.
+            if events or remaining_s <= 1e-6:
                 return Ok(WatchEvents(events, self.revision))
             changed = self._changed
             try:
-                await asyncio.wait_for(changed.wait(), left_s)
+                await asyncio.wait_for(changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
     async def grant_lease(self, ttl_s: float) -> Result[str, PlatformFailure]:
-        """Open a lease: paths written under it are deleted when it is not renewed in time."""
-        if not await self._admit("lease"):
+        """Open a lease. Paths written under it are deleted when it expires without renewal."""
+        if not await self._begin_call("lease"):
             return Err(StoreUnavailable("lease", "outage"))
         lease_id = f"lease-{len(self._leases) + 1}"
         self._leases[lease_id] = (ttl_s, asyncio.get_running_loop().time() + ttl_s)
@@ -110,7 +110,7 @@
 
     async def renew_lease(self, lease_id: str) -> Result[None, PlatformFailure]:
         """Renew a lease for its full time."""
-        if not await self._admit("renew"):
+        if not await self._begin_call("renew"):
             return Err(StoreUnavailable("renew", "outage"))
         if lease_id not in self._leases:
             return Err(StoreRefused("renew", 404))
@@ -119,12 +119,12 @@
         return Ok(None)
 
     def restore(self, entries: Mapping[str, Entry], revision: int) -> None:
-        """Come back from a copy that was taken at a revision; waiting watches fail."""
+        """Restore a backup that was taken at a revision, in a new era; waiting watches fail."""
         era = revision_era(self.revision) + 1
         self.revision = store_revision(era, revision_number(revision))
         self.entries = {
-            path: replace(one, revision=store_revision(era, revision_number(one.revision)))
-            for path, one in entries.items()
+            path: replace(entry, revision=store_revision(era, revision_number(entry.revision)))
+            for path, entry in entries.items()
         }
         self.history = []
         self._leases.clear()
@@ -135,7 +135,7 @@
         self.out = out
         self._notify()
 
-    async def _admit(self, kind: str) -> bool:
+    async def _begin_call(self, kind: str) -> bool:
         self.calls[kind] += 1
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
@@ -155,7 +155,7 @@
         self, kind: str, path: str, value: str | None, expected_revision: int
     ) -> Result[int, PlatformFailure]:
         self.path_calls[path.partition("/")[0]] += 1
-        if not await self._admit(kind):
+        if not await self._begin_call(kind):
             return Err(StoreUnavailable(f"{kind} {path}", "outage"))
         current = self.entries[path].revision if path in self.entries else 0
         if current != expected_revision:
--- a/src/egretrail/testing/_paused_loop.py
+++ b/src/egretrail/testing/_paused_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock stands still and moves only when there is nothing left to run."""
+"""An event loop with a virtual clock that advances only when nothing is left to run."""
 
 import asyncio
 import selectors
@@ -6,8 +6,8 @@
 from typing import Any
 
 
-class _SkippingSelector(selectors.BaseSelector):
-    """Moves the loop's clock ahead where a real selector would wait."""
+class _ClockAdvancingSelector(selectors.BaseSelector):
+    """Advances the loop's clock instead of waiting."""
 
     def __init__(self) -> None:
         self._inner = selectors.DefaultSelector()
@@ -34,12 +34,12 @@
 
 
 class PausedLoop(asyncio.SelectorEventLoop):
-    """A loop on which an hour of timers passes at once, in order, deterministically."""
+    """A loop whose timers fire without waiting, in order and deterministically."""
 
     def __init__(self) -> None:
-        self._skipping = _SkippingSelector()
-        super().__init__(self._skipping)
+        self._clock_selector = _ClockAdvancingSelector()
+        super().__init__(self._clock_selector)
 
     def time(self) -> float:
-        """Return the paused clock, in seconds from the loop's start."""
-        return self._skipping.now_s
+        """Return the virtual time, in seconds since the loop's start."""
+        return self._clock_selector.now_s
--- a/src/egretrail/testing/tests/test_layers.py
+++ b/src/egretrail/testing/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The rules of layout that import-linter cannot state."""
+"""Checks import rules that import-linter cannot express."""
 
 import ast
 from pathlib import Path
@@ -9,9 +9,9 @@
 
 
 def _private_imports(path: Path) -> list[str]:
-    """Return imports in a file that reach past another package's public module."""
+    """Return the file's imports of private modules of other packages."""
     own = ".".join(path.relative_to(_ROOT).parts[:2])
-    found = []
+    violations = []
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             names = [node.module]
@@ -22,11 +22,11 @@
         for name in names:
             private = any(part.startswith("_") and part != "__future__" for part in name.split("."))
             if name.startswith("egretrail.") and private and not name.startswith(own + "."):
-                found.append(f"{path.name}:{node.lineno} imports {name}")
-    return found
+                violations.append(f"{path.name}:{node.lineno} imports {name}")
+    return violations
 
 
 class LayoutTest(EgretrailTestCase):
     def test_packages_import_only_public_modules_of_each_other(self) -> None:
-        found = [fault for path in _ROOT.rglob("*.py") for fault in _private_imports(path)]
-        self.assertEqual([], found)
+        violations = [line for path in _ROOT.rglob("*.py") for line in _private_imports(path)]
+        self.assertEqual([], violations)
--- a/src/egretrail/testing/tests/test_pages.py
+++ b/src/egretrail/testing/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages name tests that exist."""
+"""Checks that documentation pages agree with the metrics, log events and tests."""
 
 import re
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def _missing(page: str) -> list[str]:
-    """Return the test ids of a page whose file, class or method is not there."""
+    """Return the test ids of a page whose file, class or method does not exist."""
     missing = []
     for path, names in _TEST_ID.findall((_ROOT / page).read_text()):
         source = (_ROOT / path).read_text() if (_ROOT / path).exists() else ""
--- a/src/egretrail/testing/tests/test_paused_loop.py
+++ b/src/egretrail/testing/tests/test_paused_loop.py
@@ -1,4 +1,4 @@
-"""The paused clock."""
+"""Checks that timers on the paused loop fire in order without waiting."""
 
 import asyncio
 
@@ -7,14 +7,14 @@
 
 class PausedLoopTest(EgretrailTestCase):
     def test_an_hour_of_sleep_passes_at_once_and_in_order(self) -> None:
-        seen: list[tuple[str, float]] = []
+        woken: list[tuple[str, float]] = []
 
         async def sleeper(name: str, delay_s: float) -> None:
             await asyncio.sleep(delay_s)
-            seen.append((name, asyncio.get_running_loop().time()))
+            woken.append((name, asyncio.get_running_loop().time()))
 
         async def both() -> None:
             await asyncio.gather(sleeper("late", 3600.0), sleeper("early", 1.5))
 
         self.run_paused(both())
-        self.assertEqual([("early", 1.5), ("late", 3600.0)], seen)
+        self.assertEqual([("early", 1.5), ("late", 3600.0)], woken)
--- a/src/egretrail/trace/__init__.py
+++ b/src/egretrail/trace/__init__.py
@@ -1,4 +1,4 @@
-"""Traces: recorded requests and faults, and a player for them through the real decisions."""
+"""Traces of requests and faults, and a simulator that replays them with the real decision code."""
 
 from egretrail.trace._baselines import BASELINES
 from egretrail.trace._egretrail import EgretrailFactory, Variant
@@ -24,13 +24,20 @@
     WRITES,
     Deployment,
     Load,
-    Site,
+    ServiceProfile,
     capacity_per_s,
-    header_of,
-    requests_of,
-    steady,
+    constant_rate,
+    generate_requests,
+    make_header,
+)
+from egretrail.trace._summary import (
+    HELD_OUT_SEEDS,
+    TUNING_SEEDS,
+    Row,
+    UnmetExpectation,
+    play,
+    table,
 )
-from egretrail.trace._summary import HELD_OUT_SEEDS, TUNING_SEEDS, Row, Unmet, play, table
 from egretrail.trace._targets import Target, slowdown, targets
 
 __all__ = [
@@ -60,24 +67,24 @@
     "Recipe",
     "RequestLog",
     "Row",
-    "Site",
+    "ServiceProfile",
     "Target",
     "Trace",
     "TraceHeader",
     "TracedMember",
     "TracedRequest",
     "TracedUpstream",
-    "Unmet",
+    "UnmetExpectation",
     "Variant",
     "capacity_per_s",
+    "constant_rate",
     "figures",
-    "header_of",
+    "generate_requests",
+    "make_header",
     "parse_trace",
     "play",
     "quantile",
-    "requests_of",
     "slowdown",
-    "steady",
     "table",
     "targets",
     "trace_lines",
--- a/src/egretrail/trace/_baselines.py
+++ b/src/egretrail/trace/_baselines.py
@@ -1,4 +1,4 @@
-"""The usual ways, played beside egretrail: no queue, one retry, no shared evidence."""
+"""Common load-balancing policies for comparison: no queue, one retry, no shared evidence."""
 
 import abc
 import random
@@ -10,16 +10,16 @@
 from egretrail.trace._records import TraceHeader
 from egretrail.upstream import Attempt, AttemptOutcome
 
-#: The usual settings of ejection after consecutive failures.
+#: Common defaults of proxies that eject an upstream after consecutive failures.
 _CONSECUTIVE_FAILURES = 5
 _EJECTION_S = 30.0
-_MOST_EJECTED = 0.1
-#: Attempts for one request that may be repeated.
-_MOST_ATTEMPTS = 2
+_MAX_EJECTED_SHARE = 0.1
+#: Attempts for one request that may be retried.
+_MAX_ATTEMPTS = 2
 
 
 class _Baseline(Policy):
-    """Sends each request at once, and an idempotent one once more when it fails."""
+    """Sends each request at once and retries a failed one once if that is safe."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -29,28 +29,28 @@
         self._works: dict[WorkId, Work] = {}
 
     def listed(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
-        """Take a new state of the instance list."""
+        """Replace the listed upstreams."""
         self._listed = list(upstreams)
 
     def submit(self, work: Work, now_s: float) -> Sequence[Action]:
-        """Send a request that has just come."""
+        """Send a request that has just arrived."""
         self._works[work.work_id] = work
         self._tried[work.work_id] = []
         return self._send(work.work_id, now_s)
 
     def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
-        """Send it once more, or end it."""
+        """Retry the request, or finish it."""
         self._in_flight[attempt.upstream] -= 1
-        self._note(attempt, now_s)
+        self._record_outcome(attempt, now_s)
         work = self._works[work_id]
         tried = self._tried[work_id]
-        unrun = attempt.outcome in (
+        is_not_run = attempt.outcome in (
             AttemptOutcome.SHED,
             AttemptOutcome.REFUSED,
             AttemptOutcome.DRAINING,
         )
-        failed = attempt.outcome is not AttemptOutcome.ANSWERED
-        if failed and (work.idempotent or unrun) and len(tried) < _MOST_ATTEMPTS:
+        has_failed = attempt.outcome is not AttemptOutcome.ANSWERED
+        if has_failed and (work.idempotent or is_not_run) and len(tried) < _MAX_ATTEMPTS:
             return self._send(work_id, now_s)
         del self._works[work_id], self._tried[work_id]
         return [Finish(work_id, attempt.upstream)]
@@ -69,8 +69,8 @@
     def _usable(self, now_s: float) -> Sequence[UpstreamName]:
         return self._listed
 
-    def _note(self, attempt: Attempt, now_s: float) -> None:
-        """Take the end of an attempt as evidence."""
+    def _record_outcome(self, attempt: Attempt, now_s: float) -> None:
+        """Record the outcome of an attempt; no-op by default."""
 
     @abc.abstractmethod
     def _choose(self, upstreams: Sequence[UpstreamName]) -> UpstreamName:
@@ -78,58 +78,63 @@
 
 
 class RoundRobin(_Baseline):
-    """Takes the upstreams in turn."""
+    """Chooses the upstreams in rotation."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self._turn = self._rng.randrange(1000)
+        self._next_index = self._rng.randrange(1000)
 
     def _choose(self, upstreams: Sequence[UpstreamName]) -> UpstreamName:
-        self._turn += 1
-        return upstreams[self._turn % len(upstreams)]
+        self._next_index += 1
+        return upstreams[self._next_index % len(upstreams)]
 
 
 class TwoChoices(_Baseline):
-    """Takes the less loaded of two random upstreams, by own requests in flight."""
+    """Chooses the upstream with fewer own requests in flight of two random ones."""
 
     def _choose(self, upstreams: Sequence[UpstreamName]) -> UpstreamName:
-        two = self._rng.sample(upstreams, min(2, len(upstreams)))
-        return min(two, key=lambda name: self._in_flight.get(name, 0))
+        sampled = self._rng.sample(upstreams, min(2, len(upstreams)))
+        return min(sampled, key=lambda name: self._in_flight.get(name, 0))
 
 
 class ConsecutiveFailures(TwoChoices):
-    """Random of two, and ejects an upstream after five failures in a row, for 30 s."""
+    """Two random choices; ejects an upstream after five consecutive failures.
+
+    The first ejection lasts 30 s, each further one of the same upstream 30 s longer."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self._failures: dict[UpstreamName, int] = {}
-        self._ejected: dict[UpstreamName, float] = {}
-        self._count: dict[UpstreamName, int] = {}
+        self._consecutive_failures: dict[UpstreamName, int] = {}
+        self._ejected_until_s: dict[UpstreamName, float] = {}
+        self._ejection_counts: dict[UpstreamName, int] = {}
 
     def ejected(self, now_s: float) -> frozenset[UpstreamName]:
         """Return the upstreams that this instance has ejected."""
-        return frozenset(name for name, until_s in self._ejected.items() if until_s > now_s)
+        return frozenset(name for name, until_s in self._ejected_until_s.items() if until_s > now_s)
 
     def _usable(self, now_s: float) -> Sequence[UpstreamName]:
-        out = self.ejected(now_s)
-        return [name for name in self._listed if name not in out]
+        ejected = self.ejected(now_s)
+        return [name for name in self._listed if name not in ejected]
 
-    def _note(self, attempt: Attempt, now_s: float) -> None:
+    def _record_outcome(self, attempt: Attempt, now_s: float) -> None:
         name = attempt.upstream
         if not is_failure(attempt.outcome):
-            self._failures[name] = 0
+            self._consecutive_failures[name] = 0
             return
-        self._failures[name] = self._failures.get(name, 0) + 1
-        # At most a tenth of the upstreams, but always one, as the usual proxies have it.
-        allowed = max(1, int(_MOST_EJECTED * len(self._listed)))
-        if self._failures[name] >= _CONSECUTIVE_FAILURES and len(self.ejected(now_s)) < allowed:
-            self._failures[name] = 0
-            self._count[name] = self._count.get(name, 0) + 1
-            self._ejected[name] = now_s + _EJECTION_S * self._count[name]
+        self._consecutive_failures[name] = self._consecutive_failures.get(name, 0) + 1
+        # At most a tenth of the upstreams, but always one, as common proxies do by default.
+        allowed = max(1, int(_MAX_EJECTED_SHARE * len(self._listed)))
+        if (
+            self._consecutive_failures[name] >= _CONSECUTIVE_FAILURES
+            and len(self.ejected(now_s)) < allowed
+        ):
+            self._consecutive_failures[name] = 0
+            self._ejection_counts[name] = self._ejection_counts.get(name, 0) + 1
+            self._ejected_until_s[name] = now_s + _EJECTION_S * self._ejection_counts[name]
 
 
 class BaselineFactory(PolicyFactory):
-    """Makes instances with one of the usual ways."""
+    """Creates policies of one baseline class."""
 
     def __init__(self, name: str, policy: type[_Baseline]) -> None:
         self.name = name
@@ -140,7 +145,7 @@
         return self._policy(seed)
 
 
-#: The baselines of the table.
+#: The baselines that the table compares egretrail with.
 BASELINES: Sequence[PolicyFactory] = (
     BaselineFactory("round robin", RoundRobin),
     BaselineFactory("random of two", TwoChoices),
--- a/src/egretrail/trace/_egretrail.py
+++ b/src/egretrail/trace/_egretrail.py
@@ -1,4 +1,4 @@
-"""One instance with the decisions that the daemon runs."""
+"""The policy of one instance, made of the daemon's scheduler and health code."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -35,20 +35,21 @@
     UpstreamState,
 )
 
-#: All evidence is sent this often, as by the daemon; urgent evidence at once, but not in a storm.
-_EVIDENCE_S = 1.0
-_URGENT_S = 0.02
-#: How often health is given the time, as by the daemon.
-_HEALTH_S = 0.0999
-#: Upstreams that one request may be lost with, the settings' default.
+#: Interval at which all evidence is sent, as in the daemon.
+_EVIDENCE_INTERVAL_S = 1.0
+#: Urgent evidence is sent at once, but not more often than this.
+_URGENT_INTERVAL_S = 0.02
+#: Interval of the health ticks, as in the daemon.
+_HEALTH_TICK_S = 0.0999
+#: Number of upstreams that may be lost with one request; the settings' default.
 _UPSTREAMS_PER_REQUEST = 2
-#: Verdicts are taken anew after this long, or at once after a failure or a peer's evidence.
-_VERDICTS_VALID_S = 0.1
+#: Verdicts are cached for this long; failures and peers' evidence invalidate them at once.
+_VERDICT_TTL_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """Tells the other members that an upstream is leaving."""
+    """Message to the other members that an upstream is draining."""
 
     #: The upstream.
     upstream: UpstreamName
@@ -56,29 +57,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A choice inside the decisions that the measure compares."""
+    """A variant of the decisions, for comparison."""
 
     #: Names the variant in tables.
     name: str = "egretrail"
     #: The queue's order.
     order: Callable[[], QueueOrder] = FairQueueing
-    #: Whether members tell each other their demand and divide the slots by it.
+    #: Whether members exchange their demand and divide the slots by it.
     share_slots: bool = True
-    #: Whether each member has own slots.
+    #: Whether each member has slots of its own.
     home_slots: bool = True
     #: Whether the members share evidence.
     share_evidence: bool = True
 
 
-class _Weights(UpstreamWeights):
-    """Shows health, the instance list and the peers' reports to the scheduler."""
+class _SchedulerView(UpstreamWeights):
+    """Gives the scheduler the health, the listed upstreams and the peers' reports."""
 
     def __init__(
         self, header: TraceHeader, member: int, variant: Variant, health: ServiceHealth
     ) -> None:
         self._member = member
         self._size = len(header.members)
-        self._traced = {each.name: each for each in header.upstreams}
+        self._traced_by_name = {each.name: each for each in header.upstreams}
         self._variant = variant
         self._health = health
         self._cached: list[Candidate] = []
@@ -88,24 +89,24 @@
         self.suspects = SuspectRequests(_UPSTREAMS_PER_REQUEST)
         self.demands = PeerDemands()
 
-    def expire(self) -> None:
-        """Take the verdicts anew at the next use."""
+    def invalidate_verdicts(self) -> None:
+        """Evaluate the upstreams again at the next use."""
         self._cached_s = float("-inf")
 
     def usable(self, now_s: float) -> Sequence[Candidate]:
         """Return the listed upstreams in service."""
-        if now_s - self._cached_s >= _VERDICTS_VALID_S:
+        if now_s - self._cached_s >= _VERDICT_TTL_S:
             self._cached_s = now_s
             names = [name for name in self.listed if name not in self.draining]
-            found = [self._candidate(name, now_s) for name in names]
-            self._cached = [each for each in found if each is not None]
+            candidates = [self._candidate(name, now_s) for name in names]
+            self._cached = [each for each in candidates if each is not None]
         return self._cached
 
     def _candidate(self, name: UpstreamName, now_s: float) -> Candidate | None:
         verdict = self._health.verdict(name, now_s)
         if not verdict.in_service:
             return None
-        traced = self._traced[name]
+        traced = self._traced_by_name[name]
         return Candidate(
             name,
             traced.availability_zone,
@@ -116,7 +117,7 @@
         )
 
     def group_position(self) -> GroupPosition:
-        """Return the instance's place in the group."""
+        """Return the instance's position in the group."""
         if not self._variant.home_slots:
             return GroupPosition()
         return GroupPosition(self._member, self._size)
@@ -126,153 +127,153 @@
         return self.demands.demands(now_s) if self._variant.share_slots else ()
 
     def permits_another_upstream(self, digest: bytes, now_s: float) -> bool:
-        """Return whether fewer upstreams than allowed were lost with the request."""
+        """Return whether the request may be sent to one more upstream."""
         return self.suspects.permits_another_upstream(int.from_bytes(digest, "big"), now_s)
 
 
 class EgretrailPolicy(Policy):
-    """The scheduler and the health of one instance, and what it tells its peers."""
+    """The scheduler and the health of one instance, and its messages to peers."""
 
     def __init__(
         self, header: TraceHeader, member: int, peers: Peers, seed: int, variant: Variant
     ) -> None:
         rng = random.Random(seed)
         self._peers = peers
-        self._names = [each.name for each in header.members]
+        self._member_names = [each.name for each in header.members]
         self._variant = variant
         self._health = ServiceHealth(
             header.service, header.detection, header.ramp_s, UnlimitedRights(), rng
         )
-        self._weights = _Weights(header, member, variant, self._health)
+        self._view = _SchedulerView(header, member, variant, self._health)
         zone = header.members[member].availability_zone
-        self.scheduler = Scheduler(zone, self._weights, header.retry_budget, rng, variant.order)
+        self.scheduler = Scheduler(zone, self._view, header.retry_budget, rng, variant.order)
         self._reporter = DemandReporter(header.service)
         self._service = header.service
-        self._report_s = 0.0
-        self._health_s = 0.0
-        self._urgent_s = 0.0
-        self._evidence_s = _EVIDENCE_S * rng.random()
+        self._next_report_s = 0.0
+        self._next_health_s = 0.0
+        self._next_urgent_s = 0.0
+        self._next_evidence_s = _EVIDENCE_INTERVAL_S * rng.random()
         self._tickets: dict[tuple[WorkId, UpstreamName], int] = {}
 
     def listed(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
-        """Take a new state of the instance list."""
-        self._weights.listed = list(upstreams)
+        """Replace the listed upstreams."""
+        self._view.listed = list(upstreams)
         self._health.set_upstreams(upstreams, now_s)
-        self._weights.expire()
+        self._view.invalidate_verdicts()
 
     def submit(self, work: Work, now_s: float) -> Sequence[Action]:
-        """Take a request that has just come."""
+        """Submit a request that has just arrived."""
         return self.scheduler.submit(work, now_s)
 
     def started(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
-        """Note an attempt that was sent."""
+        """Record an attempt that was sent."""
         ticket = self._health.record_start(upstream, str(work.cost_class), now_s)
         self._tickets[(work.work_id, upstream)] = ticket
-        self._weights.suspects.record_start(int.from_bytes(work.digest, "big"), upstream)
+        self._view.suspects.record_start(int.from_bytes(work.digest, "big"), upstream)
 
     def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
-        """Take the end of an attempt as evidence, tell the peers, and go on."""
+        """Record the outcome of an attempt and report it to the peers as needed."""
         self._health.record_end(self._tickets.pop((work_id, attempt.upstream)))
-        suspects = self._weights.suspects
+        suspects = self._view.suspects
         suspects.record_end(attempt.request_digest, attempt.upstream)
-        touched = suspects.lost_upstreams(attempt.request_digest)
-        suspect = any(name != attempt.upstream for name in touched)
-        self._health.record_outcome(attempt, now_s, suspect)
-        self._tell_of_request(attempt, now_s)
+        lost_upstreams = suspects.lost_upstreams(attempt.request_digest)
+        is_suspect = any(name != attempt.upstream for name in lost_upstreams)
+        self._health.record_outcome(attempt, now_s, is_suspect)
+        self._report_request(attempt, now_s)
         if attempt.outcome is AttemptOutcome.DRAINING:
-            self._drains(attempt.upstream)
-            self._peers.tell(DrainNotice(attempt.upstream))
+            self._mark_draining(attempt.upstream)
+            self._peers.broadcast(DrainNotice(attempt.upstream))
         if attempt.outcome is not AttemptOutcome.ANSWERED:
-            self._weights.expire()
-            self._tell_urgent(now_s)
+            self._view.invalidate_verdicts()
+            self._send_urgent_evidence(now_s)
         return self.scheduler.record_attempt_end(
             work_id, attempt.upstream, ATTEMPT_RESULTS[attempt.outcome], now_s
         )
 
     def received(self, sender: int, message: object, now_s: float) -> Sequence[Action]:
-        """Take a message from another member."""
+        """Handle a message from another member."""
         match message:
             case Evidence():
-                self._health.apply_evidence(self._names[sender], message, now_s)
+                self._health.apply_evidence(self._member_names[sender], message, now_s)
             case RequestLoss():
-                self._note_loss(message.request_digest, message.upstream, False, now_s)
+                self._record_loss(message.request_digest, message.upstream, False, now_s)
             case RequestAnswered():
-                self._weights.suspects.clear(message.request_digest)
+                self._view.suspects.clear(message.request_digest)
             case DrainNotice():
-                self._drains(message.upstream)
+                self._mark_draining(message.upstream)
             case DemandReport():
-                self._weights.demands.record_report(InstanceName(str(sender)), message, now_s)
+                self._view.demands.record_report(InstanceName(str(sender)), message, now_s)
                 return self.scheduler.tick(now_s)
             case _:
                 raise TypeError(f"unexpected message {message!r}")
-        self._weights.expire()
+        self._view.invalidate_verdicts()
         return self.scheduler.tick(now_s)
 
     def tick(self, now_s: float) -> Sequence[Action]:
-        """Let time pass for health and the scheduler, and send what is due."""
-        if now_s >= self._health_s:
-            self._health_s = now_s + _HEALTH_S
+        """Advance health and the scheduler, and send the reports that are due."""
+        if now_s >= self._next_health_s:
+            self._next_health_s = now_s + _HEALTH_TICK_S
             self._health.tick(now_s)
-            self._tell_urgent(now_s)
-        if now_s >= self._report_s:
-            self._report_s = now_s + REPORT_INTERVAL_S
-            self._tell_demand(now_s)
-        if now_s >= self._evidence_s and self._variant.share_evidence:
-            self._evidence_s = now_s + _EVIDENCE_S
-            self._peers.tell(self._health.own_evidence(now_s))
+            self._send_urgent_evidence(now_s)
+        if now_s >= self._next_report_s:
+            self._next_report_s = now_s + REPORT_INTERVAL_S
+            self._send_demand(now_s)
+        if now_s >= self._next_evidence_s and self._variant.share_evidence:
+            self._next_evidence_s = now_s + _EVIDENCE_INTERVAL_S
+            self._peers.broadcast(self._health.own_evidence(now_s))
         return self.scheduler.tick(now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Return when the scheduler is due; the player ticks besides."""
+        """Return when the scheduler is due; the player also ticks at a fixed interval."""
         return self.scheduler.next_wakeup_s()
 
     def ejected(self, now_s: float) -> frozenset[UpstreamName]:
         """Return the upstreams that health has ejected."""
-        usable = {each.name for each in self._weights.usable(now_s)}
-        listed = set(self._weights.listed) - self._weights.draining
+        usable = {each.name for each in self._view.usable(now_s)}
+        listed = set(self._view.listed) - self._view.draining
         return frozenset(listed - usable)
 
-    def _tell_of_request(self, attempt: Attempt, now_s: float) -> None:
-        """Tell the peers of a request that upstreams are lost with, or that it was answered."""
+    def _report_request(self, attempt: Attempt, now_s: float) -> None:
+        """Report to the peers that a request lost an upstream or that it was answered."""
         digest = attempt.request_digest
         if attempt.outcome in (AttemptOutcome.LOST, AttemptOutcome.TRUNCATED):
-            self._note_loss(digest, attempt.upstream, True, now_s)
-            self._peers.tell(RequestLoss(self._service, digest, attempt.upstream))
+            self._record_loss(digest, attempt.upstream, True, now_s)
+            self._peers.broadcast(RequestLoss(self._service, digest, attempt.upstream))
             return
-        answered = attempt.outcome is AttemptOutcome.ANSWERED
-        if answered and self._weights.suspects.clear(digest):
-            self._peers.tell(RequestAnswered(self._service, digest))
+        is_answered = attempt.outcome is AttemptOutcome.ANSWERED
+        if is_answered and self._view.suspects.clear(digest):
+            self._peers.broadcast(RequestAnswered(self._service, digest))
 
-    def _note_loss(
+    def _record_loss(
         self, digest: int, upstream: UpstreamName, observed_here: bool, now_s: float
     ) -> None:
-        """Remember a loss; a second one shows that the request is to blame for the first."""
-        suspects = self._weights.suspects
-        before = [name for name in suspects.lost_upstreams(digest) if name != upstream]
+        """Record a loss; a second one shows that the request, not the upstream, caused both."""
+        suspects = self._view.suspects
+        earlier = [name for name in suspects.lost_upstreams(digest) if name != upstream]
         suspects.record_loss(digest, upstream, now_s)
-        for name in before:
+        for name in earlier:
             self._health.retract_loss(name, observed_here, now_s)
 
-    def _drains(self, upstream: UpstreamName) -> None:
-        self._weights.draining.add(upstream)
-        self._weights.expire()
+    def _mark_draining(self, upstream: UpstreamName) -> None:
+        self._view.draining.add(upstream)
+        self._view.invalidate_verdicts()
 
-    def _tell_urgent(self, now_s: float) -> None:
-        if now_s < self._urgent_s:
+    def _send_urgent_evidence(self, now_s: float) -> None:
+        if now_s < self._next_urgent_s:
             return
         evidence = self._health.urgent_evidence(now_s)
         if evidence is not None and self._variant.share_evidence:
-            self._urgent_s = now_s + _URGENT_S
-            self._peers.tell(evidence)
+            self._next_urgent_s = now_s + _URGENT_INTERVAL_S
+            self._peers.broadcast(evidence)
 
-    def _tell_demand(self, now_s: float) -> None:
+    def _send_demand(self, now_s: float) -> None:
         report = self._reporter.next_report(self.scheduler.demand, now_s)
         if report is not None and self._variant.share_slots:
-            self._peers.tell(report)
+            self._peers.broadcast(report)
 
 
 class EgretrailFactory(PolicyFactory):
-    """Makes instances with the daemon's decisions, in one of their variants."""
+    """Creates policies with the daemon's decisions, in one of their variants."""
 
     def __init__(self, variant: Variant | None = None) -> None:
         self._variant = variant or Variant()
--- a/src/egretrail/trace/_figures.py
+++ b/src/egretrail/trace/_figures.py
@@ -1,4 +1,4 @@
-"""The figures of one played trace."""
+"""Computes the metrics of one replayed trace."""
 
 import math
 from collections import Counter
@@ -9,19 +9,19 @@
 from egretrail.trace._player import Ending, PlayLog
 from egretrail.trace._records import Fault, FaultKind, Trace
 
-#: An upstream has stopped when it gets less than this part of its fair share of requests.
-_STOPPED_SHARE = 0.15
-#: Fair requests in the time over which that is looked at, so that chance gaps do not count.
-_STOPPED_REQUESTS = 14.0
-_STOPPED_LEAST_S = 1.0
-#: An ejection this long after a fault's end still counts as caused by it.
-_AFTER_FAULT_S = 2.0
-#: Callers with fewer requests are left out of the fairness figure.
-_LEAST_REQUESTS = 20
-#: Failures rarer than this are part of a healthy day.
-_LEAST_SHARE = 0.05
-#: Faults after which an upstream should get no more work.
-_DETECTABLE = (
+#: A faulty upstream counts as ejected when it gets less than this part of its fair share.
+_EJECTED_SHARE = 0.15
+#: The share is measured over a window with this many fair requests: random gaps do not count.
+_EJECTED_WINDOW_REQUESTS = 14.0
+_EJECTED_MIN_WINDOW_S = 1.0
+#: An ejection this long after a fault's end still counts as caused by the fault.
+_FAULT_AFTEREFFECT_S = 2.0
+#: Clients with fewer requests are left out of the fairness metric.
+_MIN_CLIENT_REQUESTS = 20
+#: Faults that hit a smaller share of requests count as normal operation.
+_MIN_FAULT_SHARE = 0.05
+#: Faults after which an upstream should get no more requests.
+_DETECTABLE_KINDS = (
     FaultKind.FAILS,
     FaultKind.SLOW,
     FaultKind.CUTS_LARGE,
@@ -33,20 +33,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Detection:
-    """How long one failing upstream kept receiving work."""
+    """How long one faulty upstream kept receiving requests."""
 
-    #: From the beginning of the fault to the last request before the stop; to the fault's end
-    #: where it did not stop.
+    #: Time from the fault's start to the last request before the upstream was ejected; to the
+    #: fault's end if it was not.
     after_s: float
-    #: Requests that it got in that time.
+    #: Requests that the upstream got in that time.
     requests: int
-    #: Whether it stopped at all.
+    #: Whether the upstream stopped receiving requests.
     stopped: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """The outcome of one trace under one policy."""
+    """The metrics of one trace under one policy."""
 
     #: One for each fault that should be detected.
     detections: Sequence[Detection]
@@ -54,27 +54,27 @@
     false_ejections: int
     #: Requests of the trace.
     requests: int
-    #: Requests answered in time, and how many the oracle answers. Only answers before the trace's
-    #: end count: what is left in the queue then says nothing about how the load was borne.
+    #: Requests answered in time, by the policy and by the oracle. Only responses before the trace's
+    #: end count, because requests still queued then say nothing about how the load was handled.
     answered: int
     oracle_answered: int
-    #: Requests whose caller had nothing by its deadline.
+    #: Requests without a response by their deadline.
     missed: int
     #: Requests refused as not run.
     refused: int
     #: Requests answered with a failure.
     failed: int
-    #: Time beyond the upstream's work, of answered requests, and the whole time.
+    #: Of answered requests: the time beyond the upstream's work, and the total time.
     added_s: Sequence[float]
     latency_s: Sequence[float]
-    #: Smallest share that a caller got of what is fair for it.
+    #: The smallest share that any client got of its fair share.
     least_share: float
     #: First attempts, and further ones.
     first_tries: int
     further_tries: int
-    #: Requests that are not idempotent and were begun by more than one upstream.
+    #: Non-idempotent requests that more than one upstream began.
     doubled: int
-    #: Messages between instances, a second and instance.
+    #: Messages between instances, per second and instance.
     messages_per_s: float
 
     @property
@@ -84,7 +84,7 @@
 
     @property
     def undetected(self) -> int:
-        """Return how many failing upstreams kept receiving work."""
+        """Return how many faulty upstreams kept receiving requests."""
         return sum(not each.stopped for each in self.detections)
 
     @property
@@ -94,7 +94,7 @@
 
 
 def figures(trace: Trace, log: PlayLog, oracle: Sequence[bool]) -> Figures:
-    """Return the figures of a played trace."""
+    """Compute the metrics of a replayed trace."""
     endings = Counter(each.ending for each in log.requests)
     tried = [each for each in log.requests if each.attempts]
     pairs = list(zip(trace.requests, log.requests, strict=True))
@@ -103,7 +103,7 @@
         for asked, done in pairs
         if done.ending is Ending.ANSWERED
     ]
-    by_end = [
+    in_time = [
         done.ending is Ending.ANSWERED and done.ended_s <= trace.header.duration_s
         for done in log.requests
     ]
@@ -111,14 +111,14 @@
         [_detection(trace, log, fault) for fault in _detectable_faults(trace)],
         _false_ejections(trace, log),
         len(trace.requests),
-        sum(by_end),
+        sum(in_time),
         sum(oracle),
         endings[Ending.MISSED] + endings[Ending.OPEN],
         endings[Ending.REFUSED],
         endings[Ending.FAILED],
         added_s,
         [done.ended_s - asked.at_s for asked, done in pairs if done.ending is Ending.ANSWERED],
-        _least_share(trace, by_end, oracle),
+        _least_share(trace, in_time, oracle),
         len(tried),
         sum(each.attempts - 1 for each in tried),
         sum(done.runs > 1 and not asked.idempotent for asked, done in pairs),
@@ -127,20 +127,20 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lies; 0 for no values."""
+    """Return the quantile at ``share`` (nearest rank); 0 for no values."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else 0.0
 
 
 def _detectable(fault: Fault) -> bool:
-    return fault.kind in _DETECTABLE and fault.share >= _LEAST_SHARE
+    return fault.kind in _DETECTABLE_KINDS and fault.share >= _MIN_FAULT_SHARE
 
 
 def _detectable_faults(trace: Trace) -> Sequence[Fault]:
-    """Return the faults to detect: none where all upstreams fail alike."""
+    """Return the faults to detect; none if all upstreams are faulty in the same way."""
     faults = [fault for fault in trace.faults if _detectable(fault)]
-    alike = len({fault.upstream for fault in faults}) == len(trace.header.upstreams)
-    return [] if alike else faults
+    all_alike = len({fault.upstream for fault in faults}) == len(trace.header.upstreams)
+    return [] if all_alike else faults
 
 
 def _detection(trace: Trace, log: PlayLog, fault: Fault) -> Detection:
@@ -155,8 +155,8 @@
         for each in trace.requests
     )
     fair_per_s = asked / (end_s - fault.at_s) / len(trace.header.upstreams)
-    window_s = max(_STOPPED_LEAST_S, _STOPPED_REQUESTS / max(fair_per_s, 1e-9))
-    allowed = max(1.0, _STOPPED_SHARE * fair_per_s * window_s)
+    window_s = max(_EJECTED_MIN_WINDOW_S, _EJECTED_WINDOW_REQUESTS / max(fair_per_s, 1e-9))
+    allowed = max(1.0, _EJECTED_SHARE * fair_per_s * window_s)
     for index, at_s in enumerate([fault.at_s, *visits]):
         if at_s + window_s > end_s:
             break
@@ -170,47 +170,47 @@
     last_s: dict[UpstreamName, float] = {}
     count = 0
     for at_s, member, upstream in sorted(log.ejections):
-        if _is_bad(trace, upstream, member, at_s):
+        if _was_faulty(trace, upstream, member, at_s):
             continue
-        # Members that follow another's ejection do not count again.
-        if at_s - last_s.get(upstream, float("-inf")) > _AFTER_FAULT_S:
+        # Ejections by members that follow another member's ejection are not counted again.
+        if at_s - last_s.get(upstream, float("-inf")) > _FAULT_AFTEREFFECT_S:
             count += 1
         last_s[upstream] = at_s
     return count
 
 
-def _is_bad(trace: Trace, upstream: UpstreamName, member: int, at_s: float) -> bool:
-    """Return whether the upstream was at fault, and not all of them alike."""
-    blamed: set[UpstreamName] = {
+def _was_faulty(trace: Trace, upstream: UpstreamName, member: int, at_s: float) -> bool:
+    """Return whether the upstream was faulty at the time, unless all upstreams were."""
+    faulty: set[UpstreamName] = {
         fault.upstream
         for fault in trace.faults
         if _detectable(fault)
         and fault.member in (-1, member)
-        and fault.at_s <= at_s < fault.until_s + _AFTER_FAULT_S
+        and fault.at_s <= at_s < fault.until_s + _FAULT_AFTEREFFECT_S
     }
-    return upstream in blamed and len(blamed) < len(trace.header.upstreams)
+    return upstream in faulty and len(faulty) < len(trace.header.upstreams)
 
 
-def _least_share(trace: Trace, by_end: Sequence[bool], oracle: Sequence[bool]) -> float:
+def _least_share(trace: Trace, in_time: Sequence[bool], oracle: Sequence[bool]) -> float:
     asked: Counter[CallerId] = Counter(each.caller for each in trace.requests)
     got: Counter[CallerId] = Counter(
-        each.caller for each, answered in zip(trace.requests, by_end, strict=True) if answered
+        each.caller for each, answered in zip(trace.requests, in_time, strict=True) if answered
     )
-    fair = _max_min(asked, float(sum(oracle)))
+    fair = _max_min_fair(asked, float(sum(oracle)))
     shares = [
         min(1.0, got[caller] / max(fair[caller], 1e-9))
         for caller, count in asked.items()
-        if count >= _LEAST_REQUESTS
+        if count >= _MIN_CLIENT_REQUESTS
     ]
     return min(shares, default=1.0)
 
 
-def _max_min(demands: Mapping[CallerId, int], capacity: float) -> dict[CallerId, float]:
-    """Divide a capacity between callers: nobody gets more by another's getting less than it."""
+def _max_min_fair(demands: Mapping[CallerId, int], capacity: float) -> dict[CallerId, float]:
+    """Divide a capacity between clients by max-min fairness."""
     shares: dict[CallerId, float] = {}
-    left, remaining = capacity, len(demands)
+    capacity_left, clients_left = capacity, len(demands)
     for caller in sorted(demands, key=lambda each: (demands[each], each)):
-        shares[caller] = min(float(demands[caller]), left / remaining)
-        left -= shares[caller]
-        remaining -= 1
+        shares[caller] = min(float(demands[caller]), capacity_left / clients_left)
+        capacity_left -= shares[caller]
+        clients_left -= 1
     return shares
--- a/src/egretrail/trace/_format.py
+++ b/src/egretrail/trace/_format.py
@@ -1,4 +1,4 @@
-"""The form of a trace as text: one JSON object on each line, the header first."""
+"""The text format of a trace: JSON lines, the header first."""
 
 import dataclasses
 import enum
@@ -19,7 +19,7 @@
     TraceHeader,
 )
 
-#: Version of the form; a reader refuses others.
+#: Version of the format; the reader rejects other versions.
 TRACE_VERSION = 1
 
 _HEADER = TypeAdapter(TraceHeader)
@@ -29,16 +29,16 @@
     "lost-member": TypeAdapter(MemberLost),
     "expectation": TypeAdapter(Expectation),
 }
-_INFINITE = ("least", "most")
+_OPTIONAL_BOUNDS = ("least", "most")
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedTrace:
-    """A text that is no trace of this version."""
+    """The text is not a trace of this version."""
 
-    #: The line at fault, from 1.
+    #: Number of the invalid line, from 1.
     line: int
-    #: What is wrong with it.
+    #: Why the line is invalid.
     reason: str
 
     def __str__(self) -> str:
@@ -59,9 +59,9 @@
 
 
 def parse_trace(lines: Iterable[str]) -> Result[Trace, MalformedTrace]:
-    """Read a trace; the first line at fault ends it."""
+    """Parse a trace; fails at the first invalid line."""
     header: TraceHeader | None = None
-    found: dict[str, list[Any]] = {kind: [] for kind in _RECORDS}
+    records: dict[str, list[Any]] = {kind: [] for kind in _RECORDS}
     for number, line in enumerate(lines, 1):
         try:
             record = json.loads(line)
@@ -72,23 +72,27 @@
                     return Err(MalformedTrace(number, reason))
                 header = _HEADER.validate_python(record)
             else:
-                found[kind].append(_RECORDS[kind].validate_python(record))
+                records[kind].append(_RECORDS[kind].validate_python(record))
         except (json.JSONDecodeError, AttributeError, KeyError, ValidationError) as error:
             return Err(MalformedTrace(number, f"{type(error).__name__}: {error}"))
     if header is None:
         return Err(MalformedTrace(1, "the text is empty"))
-    requests = sorted(found["request"], key=lambda each: float(each.at_s))
-    return Ok(Trace(header, requests, found["fault"], found["lost-member"], found["expectation"]))
+    requests = sorted(records["request"], key=lambda each: float(each.at_s))
+    return Ok(
+        Trace(header, requests, records["fault"], records["lost-member"], records["expectation"])
+    )
 
 
-def _line(kind: str, record: Any, **more: int) -> str:
-    fields = {"record": kind, **more, **dataclasses.asdict(record)}
+def _line(kind: str, record: Any, **extra: int) -> str:
+    fields = {"record": kind, **extra, **dataclasses.asdict(record)}
     if kind == "expectation":
-        # JSON has no infinity: a bound that is not set is left out.
-        bounds = {name: fields[name] for name in _INFINITE if abs(fields[name]) != float("inf")}
+        # JSON has no infinity, so a bound that is not set is omitted.
+        bounds = {
+            name: fields[name] for name in _OPTIONAL_BOUNDS if abs(fields[name]) != float("inf")
+        }
         fields = {"record": kind, "figure": fields["figure"], **bounds}
-    return json.dumps(fields, separators=(",", ":"), default=_plain)
+    return json.dumps(fields, separators=(",", ":"), default=_to_json_value)
 
 
-def _plain(value: object) -> object:
+def _to_json_value(value: object) -> object:
     return value.value if isinstance(value, enum.Enum) else str(value)
--- a/src/egretrail/trace/_player.py
+++ b/src/egretrail/trace/_player.py
@@ -22,50 +22,50 @@
 from egretrail.trace._upstreams import FakeUpstream, Visit
 from egretrail.upstream import Attempt, AttemptOutcome
 
-#: How often every policy is given the time.
-_TICK_S = 0.05
-#: Played on after the last request, for answers that are under way.
-_AFTER_S = 5.0
+#: Interval of the policies' ticks.
+_TICK_INTERVAL_S = 0.05
+#: Time simulated after the trace's end, for responses still under way.
+_TAIL_S = 5.0
 
 
 class Ending(enum.Enum):
-    """How a request ended for its caller."""
+    """How a request ended for its client."""
 
-    #: It has not ended.
+    #: The request has not ended.
     OPEN = "open"
-    #: A whole answer came before the deadline.
+    #: A complete response arrived before the deadline.
     ANSWERED = "answered"
-    #: It was refused: not run.
+    #: The request was refused and not run.
     REFUSED = "refused"
-    #: A failure was passed on before the deadline.
+    #: A failure was returned before the deadline.
     FAILED = "failed"
-    #: Nothing came before the deadline.
+    #: No response arrived before the deadline.
     MISSED = "missed"
 
 
 @dataclass(slots=True)
 class RequestLog:
-    """What became of one request."""
+    """The course of one request."""
 
-    #: How it ended for its caller.
+    #: How the request ended for its client.
     ending: Ending = Ending.OPEN
-    #: When it ended.
+    #: When the request ended.
     ended_s: float = 0.0
     #: Attempts that were sent.
     attempts: int = 0
-    #: Attempts at which an upstream began the work.
+    #: Attempts that an upstream began to run.
     runs: int = 0
 
 
 @dataclass(slots=True)
 class PlayLog:
-    """What happened while a trace was played."""
+    """The events of one replay."""
 
     #: Each request's log, in the order of the trace.
     requests: list[RequestLog]
-    #: When and from which instance a request reached each upstream.
+    #: For each upstream, the time and the instance index of each request that reached it.
     visits_s: dict[UpstreamName, Sequence[tuple[float, int]]] = field(default_factory=dict)
-    #: When which instance began to eject an upstream.
+    #: Ejections: time, instance index and upstream.
     ejections: list[tuple[float, int, UpstreamName]] = field(default_factory=list)
     #: Messages between instances.
     messages: int = 0
@@ -83,25 +83,25 @@
 
 
 class _Member(Peers):
-    """One instance: its policy, its attempts and its links."""
+    """One instance: its policy, its attempts and its link to the others."""
 
     def __init__(self, player: "Player", index: int) -> None:
         self._player = player
         self.index = index
         self.policy: Policy
-        self.gone = False
+        self.is_gone = False
         self.wakeup_s = float("inf")
         self.attempts: dict[tuple[WorkId, UpstreamName], _Attempt] = {}
         self.outcomes: dict[tuple[WorkId, UpstreamName], AttemptOutcome] = {}
         self.ejected: frozenset[UpstreamName] = frozenset()
 
-    def tell(self, message: object) -> None:
+    def broadcast(self, message: object) -> None:
         """Send a message to every other member."""
-        self._player.tell(self, message)
+        self._player.broadcast(self, message)
 
 
 class Player:
-    """Plays one trace once, with one policy on every instance."""
+    """Replays one trace once, with one policy on every instance."""
 
     def __init__(self, trace: Trace, factory: PolicyFactory, seed: int) -> None:
         self._trace = trace
@@ -123,39 +123,39 @@
             )
 
     def run(self) -> PlayLog:
-        """Play the trace to its end."""
-        self._schedule_list()
+        """Replay the trace to its end and return the log."""
+        self._schedule_list_updates()
         for number, request in enumerate(self._trace.requests):
-            self._clock.at(request.at_s, self._arrive, number)
+            self._clock.schedule(request.at_s, self._arrive, number)
         for member in self._members:
-            offset_s = _TICK_S * (member.index + 1) / (len(self._members) + 1)
-            self._clock.at(offset_s, self._tick, member)
+            offset_s = _TICK_INTERVAL_S * (member.index + 1) / (len(self._members) + 1)
+            self._clock.schedule(offset_s, self._tick, member)
         for lost in self._trace.lost_members:
-            self._clock.at(lost.at_s, self._lose, self._members[lost.member])
-        self._clock.run(self._header.duration_s + _AFTER_S)
+            self._clock.schedule(lost.at_s, self._remove_member, self._members[lost.member])
+        self._clock.run(self._header.duration_s + _TAIL_S)
         for name, upstream in self._upstreams.items():
             self.log.visits_s[name] = upstream.visits_s
         return self.log
 
-    def tell(self, sender: _Member, message: object) -> None:
-        """Carry a message to the other members."""
+    def broadcast(self, sender: _Member, message: object) -> None:
+        """Deliver a message to the other members after the link's latency."""
         for member in self._members:
             if member is not sender:
                 self.log.messages += 1
                 at_s = self._clock.now_s + self._header.zone_latency_s
-                self._clock.at(at_s, self._receive, sender.index, member, message)
+                self._clock.schedule(at_s, self._receive, sender.index, member, message)
 
     # The instance list
 
-    def _schedule_list(self) -> None:
-        self._list()
+    def _schedule_list_updates(self) -> None:
+        self._update_lists()
         for fault in self._trace.faults:
             if fault.kind is FaultKind.STARTS:
-                self._clock.at(fault.at_s, self._list)
+                self._clock.schedule(fault.at_s, self._update_lists)
             elif fault.kind is FaultKind.LEAVES:
-                self._clock.at(fault.at_s + fault.factor, self._list)
+                self._clock.schedule(fault.at_s + fault.factor, self._update_lists)
 
-    def _list(self) -> None:
+    def _update_lists(self) -> None:
         now_s = self._clock.now_s
         unlisted = {
             fault.upstream
@@ -170,32 +170,32 @@
     # Instances
 
     def _tick(self, member: _Member) -> None:
-        if member.gone:
+        if member.is_gone:
             return
         now_s = self._clock.now_s
-        self._perform(member, member.policy.tick(now_s))
-        self._note_ejections(member)
-        if now_s < self._header.duration_s + _AFTER_S:
-            self._clock.at(now_s + _TICK_S, self._tick, member)
+        self._apply_actions(member, member.policy.tick(now_s))
+        self._record_ejections(member)
+        if now_s < self._header.duration_s + _TAIL_S:
+            self._clock.schedule(now_s + _TICK_INTERVAL_S, self._tick, member)
 
     def _wake(self, member: _Member) -> None:
-        if member.gone or self._clock.now_s < member.wakeup_s:
+        if member.is_gone or self._clock.now_s < member.wakeup_s:
             return
         member.wakeup_s = float("inf")
-        self._perform(member, member.policy.tick(self._clock.now_s))
+        self._apply_actions(member, member.policy.tick(self._clock.now_s))
 
     def _receive(self, sender: int, member: _Member, message: object) -> None:
-        if not member.gone:
-            self._perform(member, member.policy.received(sender, message, self._clock.now_s))
+        if not member.is_gone:
+            self._apply_actions(member, member.policy.received(sender, message, self._clock.now_s))
 
-    def _lose(self, member: _Member) -> None:
-        """Let an instance vanish with all that it holds."""
-        member.gone = True
+    def _remove_member(self, member: _Member) -> None:
+        """Remove an instance; its requests in flight fail."""
+        member.is_gone = True
         for (work_id, _), attempt in member.attempts.items():
             self._upstreams[attempt.visit.upstream].cancel(attempt.visit)
-            self._end(work_id, Ending.FAILED)
+            self._end_request(work_id, Ending.FAILED)
 
-    def _note_ejections(self, member: _Member) -> None:
+    def _record_ejections(self, member: _Member) -> None:
         ejected = member.policy.ejected(self._clock.now_s)
         for name in sorted(ejected - member.ejected):
             self.log.ejections.append((self._clock.now_s, member.index, name))
@@ -208,49 +208,51 @@
         member = self._members[request.member]
         work = _work(number, request)
         self._works[work.work_id] = work
-        if member.gone:
-            self._end(work.work_id, Ending.REFUSED)
+        if member.is_gone:
+            self._end_request(work.work_id, Ending.REFUSED)
             return
-        self._perform(member, member.policy.submit(work, self._clock.now_s))
+        self._apply_actions(member, member.policy.submit(work, self._clock.now_s))
 
-    def _perform(self, member: _Member, actions: Sequence[Action]) -> None:
+    def _apply_actions(self, member: _Member, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case Dispatch() | Hedge():
                     self._send(member, action.work_id, action.upstream)
                 case Abandon():
-                    self._clock.at(
+                    self._clock.schedule(
                         self._clock.now_s, self._abandon, member, action.work_id, action.upstream
                     )
                 case Refuse():
-                    self._end(action.work_id, Ending.REFUSED)
+                    self._end_request(action.work_id, Ending.REFUSED)
                 case Finish():
                     outcome = member.outcomes[(action.work_id, action.upstream)]
-                    answered = outcome is AttemptOutcome.ANSWERED
-                    self._end(action.work_id, Ending.ANSWERED if answered else Ending.FAILED)
+                    is_answered = outcome is AttemptOutcome.ANSWERED
+                    self._end_request(
+                        action.work_id, Ending.ANSWERED if is_answered else Ending.FAILED
+                    )
         self._set_wakeup(member)
 
     def _set_wakeup(self, member: _Member) -> None:
         at_s = member.policy.next_wakeup_s()
         if at_s is not None and at_s < member.wakeup_s:
             member.wakeup_s = max(at_s, self._clock.now_s)
-            self._clock.at(member.wakeup_s, self._wake, member)
+            self._clock.schedule(member.wakeup_s, self._wake, member)
 
-    def _end(self, work_id: WorkId, ending: Ending) -> None:
+    def _end_request(self, work_id: WorkId, ending: Ending) -> None:
         log = self.log.requests[int(work_id)]
         if log.ending is not Ending.OPEN:
             return
-        late = self._clock.now_s > self._works[work_id].deadline_s + 1e-9
+        is_late = self._clock.now_s > self._works[work_id].deadline_s + 1e-9
         timed_out = ending is Ending.FAILED and self._clock.now_s >= self._works[work_id].deadline_s
-        log.ending = Ending.MISSED if late or timed_out else ending
+        log.ending = Ending.MISSED if is_late or timed_out else ending
         log.ended_s = self._clock.now_s
 
     # Attempts
 
     def _latency_s(self, member: _Member, upstream: UpstreamName) -> float:
         own = self._header.members[member.index].availability_zone
-        near = own == self._zones[upstream]
-        return self._header.zone_latency_s * (0.5 if near else 1.0)
+        is_same_zone = own == self._zones[upstream]
+        return self._header.zone_latency_s * (0.5 if is_same_zone else 1.0)
 
     def _send(self, member: _Member, work_id: WorkId, name: UpstreamName) -> None:
         now_s = self._clock.now_s
@@ -258,31 +260,31 @@
         work = self._works[work_id]
         latency_s = self._latency_s(member, name)
 
-        def ended(outcome: AttemptOutcome) -> None:
+        def on_ended(outcome: AttemptOutcome) -> None:
             at_s = self._clock.now_s + latency_s
-            self._clock.at(at_s, self._done, member, work_id, name, outcome)
+            self._clock.schedule(at_s, self._finish_attempt, member, work_id, name, outcome)
 
         request = self._trace.requests[number]
-        visit = Visit(number, request, member.index, work.deadline_s, name, ended)
+        visit = Visit(number, request, member.index, work.deadline_s, name, on_ended)
         member.attempts[(work_id, name)] = _Attempt(now_s, visit)
         self.log.requests[number].attempts += 1
         member.policy.started(name, work, now_s)
-        self._clock.at(now_s + latency_s, self._upstreams[name].receive, visit)
-        self._clock.at(work.deadline_s, self._time_out, member, work_id, name)
+        self._clock.schedule(now_s + latency_s, self._upstreams[name].receive, visit)
+        self._clock.schedule(work.deadline_s, self._time_out, member, work_id, name)
 
-    def _done(
+    def _finish_attempt(
         self, member: _Member, work_id: WorkId, name: UpstreamName, outcome: AttemptOutcome
     ) -> None:
-        """Take the end of an attempt at the instance that sent it."""
+        """Record the end of an attempt at the instance that sent it."""
         attempt = member.attempts.pop((work_id, name), None)
-        if attempt is None or member.gone:
+        if attempt is None or member.is_gone:
             return
         now_s = self._clock.now_s
         work = self._works[work_id]
         request = self._trace.requests[int(work_id)]
-        self.log.requests[int(work_id)].runs += attempt.visit.running
+        self.log.requests[int(work_id)].runs += attempt.visit.has_run
         member.outcomes[(work_id, name)] = outcome
-        seen = Attempt(
+        observed = Attempt(
             name,
             outcome,
             now_s - attempt.started_s,
@@ -293,25 +295,27 @@
             request.answer_size_bytes,
             request.idempotent,
         )
-        self._perform(member, member.policy.finished(work.work_id, seen, now_s))
+        self._apply_actions(member, member.policy.finished(work.work_id, observed, now_s))
         if outcome is not AttemptOutcome.ANSWERED:
-            self._note_ejections(member)
+            self._record_ejections(member)
 
     def _time_out(self, member: _Member, work_id: WorkId, name: UpstreamName) -> None:
-        self._give_up(member, work_id, name, AttemptOutcome.TIMED_OUT)
+        self._stop_attempt(member, work_id, name, AttemptOutcome.TIMED_OUT)
 
     def _abandon(self, member: _Member, work_id: WorkId, name: UpstreamName) -> None:
-        self._give_up(member, work_id, name, AttemptOutcome.CANCELLED)
+        self._stop_attempt(member, work_id, name, AttemptOutcome.CANCELLED)
 
-    def _give_up(
+    def _stop_attempt(
         self, member: _Member, work_id: WorkId, name: UpstreamName, outcome: AttemptOutcome
     ) -> None:
         attempt = member.attempts.get((work_id, name))
-        if attempt is None or member.gone:
+        if attempt is None or member.is_gone:
             return
         latency_s = self._latency_s(member, name)
-        self._clock.at(self._clock.now_s + latency_s, self._upstreams[name].cancel, attempt.visit)
-        self._done(member, work_id, name, outcome)
+        self._clock.schedule(
+            self._clock.now_s + latency_s, self._upstreams[name].cancel, attempt.visit
+        )
+        self._finish_attempt(member, work_id, name, outcome)
 
 
 def _work(number: int, request: TracedRequest) -> Work:
--- a/src/egretrail/trace/_policy.py
+++ b/src/egretrail/trace/_policy.py
@@ -1,4 +1,4 @@
-"""What the player drives on each instance: egretrail's decisions or a baseline's."""
+"""The interface between the player and the decisions of an instance."""
 
 import abc
 from collections.abc import Sequence
@@ -10,11 +10,11 @@
 
 
 class Peers(abc.ABC):
-    """How an instance reaches the group's other members."""
+    """Sends messages to the group's other members."""
 
     @abc.abstractmethod
-    def tell(self, message: object) -> None:
-        """Send a message to every other member; it arrives after the link's latency."""
+    def broadcast(self, message: object) -> None:
+        """Send a message to every other member, which arrives after the link's latency."""
 
 
 class Policy(abc.ABC):
@@ -22,49 +22,49 @@
 
     @abc.abstractmethod
     def submit(self, work: Work, now_s: float) -> Sequence[Action]:
-        """Take a request that has just come."""
+        """Submit a request that has just arrived; return the actions to carry out."""
 
     @abc.abstractmethod
     def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
-        """Take the end of an attempt."""
+        """Record the outcome of an attempt; return the actions to carry out."""
 
     @abc.abstractmethod
     def listed(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
-        """Take a new state of the instance list."""
+        """Replace the listed upstreams."""
 
     def started(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
 
     def received(self, sender: int, message: object, now_s: float) -> Sequence[Action]:
-        """Take a message from another member."""
+        """Handle a message from another member, given by its index."""
         return ()
 
     def tick(self, now_s: float) -> Sequence[Action]:
-        """Let time pass; called at ``next_wakeup_s`` and several times a second."""
+        """Advance to a time; called at ``next_wakeup_s`` and several times a second."""
         return ()
 
     def next_wakeup_s(self) -> float | None:
-        """Return when ``tick`` is due."""
+        """Return when ``tick`` is due; None if no time is set."""
         return None
 
     def ejected(self, now_s: float) -> frozenset[UpstreamName]:
-        """Return the upstreams that get no work because of their failures."""
+        """Return the upstreams that get no requests because of their failures."""
         return frozenset()
 
 
 class PolicyFactory(abc.ABC):
-    """Makes the policies of a trace's instances."""
+    """Creates the policies of a trace's instances."""
 
-    #: Names the policy in tables.
+    #: The policy's name in tables.
     name: str
 
     @abc.abstractmethod
     def make(self, header: TraceHeader, member: int, peers: Peers, seed: int) -> Policy:
-        """Return the policy of one instance."""
+        """Create the policy of one instance."""
 
 
 def is_failure(outcome: AttemptOutcome) -> bool:
-    """Return whether an outcome is the usual sign of a failing upstream."""
+    """Return whether an outcome commonly indicates a failing upstream."""
     return outcome in (
         AttemptOutcome.FAILED,
         AttemptOutcome.LOST,
--- a/src/egretrail/trace/_records.py
+++ b/src/egretrail/trace/_records.py
@@ -1,4 +1,4 @@
-"""What a trace holds: a small fleet, the requests that came to it, and the faults it met."""
+"""The records of a trace: a small fleet, the requests it received, and the faults."""
 
 import enum
 from collections.abc import Sequence
@@ -19,15 +19,15 @@
 class TracedUpstream:
     """One upstream of the traced service."""
 
-    #: Its name.
+    #: The name.
     name: UpstreamName
-    #: Where it runs.
+    #: The availability zone in which it runs.
     availability_zone: AvailabilityZone
-    #: Requests that it works on at once.
+    #: Number of requests that the upstream runs at once.
     slots: int
-    #: Requests that the settings say it works on at once.
+    #: Number of requests that it runs at once according to the settings.
     stated_slots: int
-    #: Requests that it accepts, those that wait for a slot included; it sheds beyond them.
+    #: Number of requests that it accepts, including those waiting for a slot; it sheds the rest.
     connections: int
 
 
@@ -35,9 +35,9 @@
 class TracedMember:
     """One instance that serves the traced service."""
 
-    #: Its name.
+    #: The name.
     name: InstanceName
-    #: Where it runs.
+    #: The availability zone in which it runs.
     availability_zone: AvailabilityZone
 
 
@@ -45,19 +45,19 @@
 class TraceHeader:
     """The service and the instances of a trace; its first line."""
 
-    #: Names the trace in tables.
+    #: The trace's name in tables.
     name: str
     #: The traced service.
     service: ServiceName
     #: The service's detection setting.
     detection: Detection
-    #: The service's retry budget, a share of first tries.
+    #: The service's retry budget, as a share of first attempts.
     retry_budget: float
-    #: How long a new or returning upstream ramps.
+    #: Time over which a new or returning upstream ramps up, in seconds.
     ramp_s: float
-    #: One-way latency between availability zones; half as much within one.
+    #: One-way latency between availability zones, in seconds; half of it within a zone.
     zone_latency_s: float
-    #: The length of the trace.
+    #: The length of the trace, in seconds.
     duration_s: float
     #: The service's upstreams.
     upstreams: Sequence[TracedUpstream]
@@ -67,116 +67,117 @@
 
 @dataclass(frozen=True, slots=True)
 class TracedRequest:
-    """One request as it came to an instance."""
+    """One request as it arrived at an instance."""
 
-    #: When it came.
+    #: Time of arrival.
     at_s: float
-    #: The instance it came to, an index into the header's members.
+    #: The receiving instance, an index into the header's members.
     member: int
-    #: Who sent it.
+    #: The client that sent the request.
     caller: CallerId
-    #: The team whose route it came by.
+    #: The team that owns the route.
     team: TeamName
-    #: Its route and method.
+    #: Route and method.
     kind: str
-    #: Whether it may run more than once.
+    #: Whether the request may run more than once.
     idempotent: bool
-    #: How long a healthy upstream works on it.
+    #: Time that a healthy upstream takes to run it.
     work_s: float
-    #: Size of its answer.
+    #: Size of the response.
     answer_size_bytes: int
-    #: How long after its arrival its answer is of use.
+    #: Time from the arrival to the deadline.
     deadline_s: float
-    #: How long it may wait for an upstream.
+    #: Maximum time in the queue.
     queue_s: float
-    #: Equal for resends of the same request.
+    #: Digest of the request; equal for resends of the same request.
     digest: int
-    #: Whether a second upstream may be tried while the first is slow.
+    #: Whether the request may be hedged to a second upstream while the first is slow.
     hedge: bool = False
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong with an upstream."""
+    """The kinds of upstream faults."""
 
-    #: A share of requests is answered with an error, after ``factor`` of their work.
+    #: A share of requests is answered with an error, after a fixed part of ``factor`` times
+    #: their work.
     FAILS = "fails"
     #: Requests take ``factor`` times their work.
     SLOW = "slow"
-    #: Answers above a size are cut.
+    #: Responses of at least a given size are truncated.
     CUTS_LARGE = "cuts-large"
     #: One instance's connections to it are lost.
     PATH = "path"
-    #: It is gone without a word: connecting takes until the connect timeout.
+    #: The upstream is gone: connection attempts fail only at the connect timeout.
     UNREACHABLE = "unreachable"
-    #: It runs down: it declines new work, and the instance list drops it after ``factor`` seconds.
+    #: The upstream drains: it declines new requests, and is unlisted after ``factor`` seconds.
     LEAVES = "leaves"
-    #: It starts: it is listed from now on, and its first answers take ``factor`` times their work.
+    #: The upstream starts: it is listed from now on, and is ``factor`` times slower at first.
     STARTS = "starts"
-    #: Requests with one digest crash it; it is back after ``factor`` seconds.
+    #: Requests with one digest crash the upstream; it is back after ``factor`` seconds.
     CRASHES = "crashes"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of one upstream, from a time to another."""
+    """One fault of one upstream for a period of time."""
 
-    #: What goes wrong.
+    #: The kind of the fault.
     kind: FaultKind
     #: The upstream.
     upstream: UpstreamName
-    #: When it begins and ends.
+    #: When the fault begins and ends.
     at_s: float
     until_s: float
-    #: The share of requests that meet it.
+    #: The share of requests that the fault affects.
     share: float = 1.0
-    #: See the kinds.
+    #: Meaning depends on the kind, see there.
     factor: float = 1.0
-    #: Only requests of this kind meet it; empty: all.
+    #: Limits the fault to requests of this kind; empty for all.
     request_kind: str = ""
-    #: Only answers of at least this size meet it.
+    #: Limits the fault to responses of at least this size.
     least_size_bytes: int = 0
-    #: The instance whose path is bad, an index; -1: none.
+    #: Limits the fault to requests of this instance, an index; -1 for all.
     member: int = -1
-    #: The digest that crashes it.
+    #: The digest of the requests that crash the upstream.
     digest: int = 0
 
     def active(self, now_s: float) -> bool:
-        """Return whether the fault lasts at this time."""
+        """Return whether the fault is active at a time."""
         return self.at_s <= now_s < self.until_s
 
 
 @dataclass(frozen=True, slots=True)
 class MemberLost:
-    """An instance is gone from this time on."""
+    """The loss of an instance."""
 
-    #: The instance, an index.
+    #: The instance, an index into the header's members.
     member: int
-    #: When it goes.
+    #: When the instance is lost.
     at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """A stated outcome: a figure of the table and its bound."""
+    """An expected bound on one metric."""
 
-    #: The name of a figure of ``Figures``.
+    #: The name of an attribute of ``Figures``.
     figure: str
-    #: Its least and greatest accepted value.
+    #: The smallest and largest accepted value.
     least: float = float("-inf")
     most: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """A whole trace."""
+    """A complete trace."""
 
     #: The service and the instances.
     header: TraceHeader
-    #: The requests, in the order of their arrival.
+    #: The requests, ordered by time of arrival.
     requests: Sequence[TracedRequest]
     #: The faults.
     faults: Sequence[Fault] = ()
     #: The instances that are lost.
     lost_members: Sequence[MemberLost] = ()
-    #: What is expected of egretrail.
+    #: The expected results under egretrail.
     expectations: Sequence[Expectation] = ()
--- a/src/egretrail/trace/_sites.py
+++ b/src/egretrail/trace/_sites.py
@@ -1,4 +1,4 @@
-"""The two deployments' services at their sizes of today, and the requests drawn for them."""
+"""The services of the two deployments at their present sizes, and random requests for them."""
 
 import enum
 import random
@@ -16,41 +16,41 @@
 from egretrail.settings import Detection
 from egretrail.trace._records import TracedMember, TracedRequest, TracedUpstream, TraceHeader
 
-#: Deadline of a request in a hurry, as a share of the usual one.
-_TIGHT = 1.0 / 3.0
+#: Deadline and queueing time of a tight request, as a share of the typical ones.
+_TIGHT_SHARE = 1.0 / 3.0
 
 
 class Deployment(enum.Enum):
-    """The two deployments, at their sizes of today."""
+    """The two deployments."""
 
-    #: Sample catalogue: patient callers, three zones, four slots an upstream.
+    #: Sample catalogue: patient clients, three zones, four slots per upstream.
     LAATTANAYTE = "laattanayte"
-    #: Stand builders: prompt detection, three zones, three slots an upstream.
+    #: Stand builders: prompt detection, three zones, three slots per upstream.
     HOANG_LIEN = "hoang-lien"
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
+class ServiceProfile:
     """The size and latencies of one deployment's service."""
 
     #: The service's qualified name.
     service: ServiceName
-    #: How eagerly it ejects.
+    #: The service's detection setting.
     detection: Detection
-    #: Its availability zones.
+    #: The availability zones.
     zones: Sequence[str]
-    #: One-way latency between zones.
+    #: One-way latency between zones, in seconds.
     zone_latency_s: float
-    #: Its upstreams, and how many requests each works on at once.
+    #: Number of upstreams, and number of requests that each runs at once.
     upstream_count: int
     slots: int
-    #: Connections that each upstream accepts.
+    #: Number of connections that each upstream accepts.
     connections: int
-    #: The instances that serve it.
+    #: Number of instances that serve it.
     member_count: int
-    #: Typical work of one request.
+    #: Typical time that an upstream takes for a request, in seconds.
     work_s: float
-    #: Time to the deadline and time in the queue that its callers accept.
+    #: Time to the deadline and maximum time in the queue, in seconds.
     deadline_s: float
     queue_s: float
 
@@ -58,9 +58,9 @@
 _UUSIMAA = ("vantaa-a", "espoo-b", "kerava-c")
 _HO_CHI_MINH = ("binh-duong", "thu-duc", "quan-bay")
 
-#: Reads of each deployment; the gray faults are played on these.
-READS: Mapping[Deployment, Site] = {
-    Deployment.LAATTANAYTE: Site(
+#: A read service of each deployment, with idempotent requests; gray failures use these.
+READS: Mapping[Deployment, ServiceProfile] = {
+    Deployment.LAATTANAYTE: ServiceProfile(
         ServiceName("naytteet/katalogi"),
         Detection.PATIENT,
         _UUSIMAA,
@@ -73,7 +73,7 @@
         4.0,
         2.0,
     ),
-    Deployment.HOANG_LIEN: Site(
+    Deployment.HOANG_LIEN: ServiceProfile(
         ServiceName("messut/standplan"),
         Detection.PROMPT,
         _HO_CHI_MINH,
@@ -87,9 +87,9 @@
         0.5,
     ),
 }
-#: Work that may run once of each deployment.
-WRITES: Mapping[Deployment, Site] = {
-    Deployment.LAATTANAYTE: Site(
+#: A write service of each deployment, whose requests may run only once.
+WRITES: Mapping[Deployment, ServiceProfile] = {
+    Deployment.LAATTANAYTE: ServiceProfile(
         ServiceName("naytteet/varaus"),
         Detection.PATIENT,
         _UUSIMAA,
@@ -102,7 +102,7 @@
         6.0,
         3.0,
     ),
-    Deployment.HOANG_LIEN: Site(
+    Deployment.HOANG_LIEN: ServiceProfile(
         ServiceName("messut/thuphi"),
         Detection.PROMPT,
         _HO_CHI_MINH,
@@ -120,33 +120,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """The requests of a recipe."""
+    """The workload of a recipe."""
 
-    #: Requests a second, over time.
+    #: Requests per second as a function of time.
     rate_per_s: Callable[[float], float]
-    #: Length of the trace.
+    #: Length of the trace, in seconds.
     duration_s: float
-    #: Standard deviation of the logarithm of the work: 0.5 is usual, 1.0 a heavy tail.
+    #: Standard deviation of the logarithm of the work: 0.5 is typical, 1.0 a heavy tail.
     work_spread: float = 0.5
     #: Share of requests that are idempotent.
     idempotent_share: float = 0.9
-    #: Callers; their shares fall as 1, 1/2, 1/3, ...
+    #: Number of clients; their shares fall as 1, 1/2, 1/3, ...
     caller_count: int = 12
-    #: Share of all requests that one further, greedy caller sends.
+    #: Share of all requests that one further, greedy client sends.
     greedy_share: float = 0.0
-    #: Share of requests that are long, and how much longer.
+    #: Share of requests that are long, and the factor by which they are longer.
     long_share: float = 0.0
     long_factor: float = 20.0
-    #: Share of requests to members other than evenly: the first gets this much more.
+    #: Additional weight of the first member over the others' weight of 1.
     member_skew: float = 0.0
-    #: Share of requests with a third of the deadline and of the time in the queue.
+    #: Share of requests with a third of the deadline and of the queueing time.
     tight_share: float = 0.0
-    #: Whether slow idempotent requests may be sent a second time.
+    #: Whether slow idempotent requests may be hedged.
     hedge: bool = False
 
 
-def header_of(name: str, site: Site, duration_s: float) -> TraceHeader:
-    """Return the header for a service."""
+def make_header(name: str, site: ServiceProfile, duration_s: float) -> TraceHeader:
+    """Return the trace header of a service."""
     upstreams = [
         TracedUpstream(
             UpstreamName(f"u{index:02}"),
@@ -176,47 +176,47 @@
     )
 
 
-def requests_of(site: Site, load: Load, rng: random.Random) -> list[TracedRequest]:
-    """Draw the requests of a trace."""
+def generate_requests(site: ServiceProfile, load: Load, rng: random.Random) -> list[TracedRequest]:
+    """Generate the requests of a trace."""
     callers = [CallerId(f"c{index:02}") for index in range(load.caller_count)]
     shares = [1.0 / (index + 1) for index in range(load.caller_count)]
     members = list(range(site.member_count))
     member_shares = [1.0 + load.member_skew * (index == 0) for index in members]
-    found: list[TracedRequest] = []
+    requests: list[TracedRequest] = []
     now_s = 0.0
     while True:
         now_s += rng.expovariate(load.rate_per_s(now_s))
         if now_s >= load.duration_s:
-            return found
-        greedy = rng.random() < load.greedy_share
-        long = rng.random() < load.long_share
+            return requests
+        is_greedy = rng.random() < load.greedy_share
+        is_long = rng.random() < load.long_share
         idempotent = rng.random() < load.idempotent_share
-        patience = _TIGHT if rng.random() < load.tight_share else 1.0
+        deadline_share = _TIGHT_SHARE if rng.random() < load.tight_share else 1.0
         work_s = site.work_s * rng.lognormvariate(-load.work_spread**2 / 2, load.work_spread)
-        kind = "report GET" if long else rng.choice(("list GET", "item GET"))
-        found.append(
+        kind = "report GET" if is_long else rng.choice(("list GET", "item GET"))
+        requests.append(
             TracedRequest(
                 now_s,
                 rng.choices(members, member_shares)[0],
-                CallerId("greedy") if greedy else rng.choices(callers, shares)[0],
+                CallerId("greedy") if is_greedy else rng.choices(callers, shares)[0],
                 TeamName("own"),
-                kind if idempotent else "order POST" if patience == 1.0 else "rush POST",
+                kind if idempotent else "order POST" if deadline_share == 1.0 else "rush POST",
                 idempotent,
-                work_s * (load.long_factor if long else 1.0),
+                work_s * (load.long_factor if is_long else 1.0),
                 int(2000 * rng.lognormvariate(0.0, 1.5)),
-                site.deadline_s * patience,
-                site.queue_s * patience,
+                site.deadline_s * deadline_share,
+                site.queue_s * deadline_share,
                 rng.getrandbits(63),
                 load.hedge,
             )
         )
 
 
-def steady(rate_per_s: float) -> Callable[[float], float]:
-    """Return a rate that does not change."""
+def constant_rate(rate_per_s: float) -> Callable[[float], float]:
+    """Return a constant rate."""
     return lambda _now_s: rate_per_s
 
 
-def capacity_per_s(site: Site) -> float:
-    """Return the requests a second that the service's slots can answer."""
+def capacity_per_s(site: ServiceProfile) -> float:
+    """Return how many requests per second the service's slots can serve."""
     return site.upstream_count * site.slots / site.work_s
--- a/src/egretrail/trace/_summary.py
+++ b/src/egretrail/trace/_summary.py
@@ -1,4 +1,4 @@
-"""The table of the measure: figures of several seeds in one row."""
+"""The summary table: the metrics of several seeds in one row."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -10,11 +10,11 @@
 from egretrail.trace._recipes import Recipe
 from egretrail.trace._sites import Deployment
 
-#: Seeds that the decisions may be tuned on, and seeds held out of tuning.
+#: Seeds on which the decisions may be tuned, and seeds held out from tuning.
 TUNING_SEEDS = (1, 2)
 HELD_OUT_SEEDS = (3,)
 
-#: The head of the table.
+#: The table's header.
 HEAD = (
     "recipe",
     "deployment",
@@ -35,10 +35,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unmet:
-    """A stated outcome that egretrail did not reach."""
+class UnmetExpectation:
+    """An expectation that egretrail did not meet."""
 
-    #: The trace, its figure, and what was measured and asked for.
+    #: The trace, the metric, its measured value and the accepted range.
     trace: str
     figure: str
     value: float
@@ -51,21 +51,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One recipe, deployment and policy over its seeds."""
+    """The results of one recipe, deployment and policy over all seeds."""
 
-    #: What was played.
+    #: The recipe, deployment and policy.
     recipe: str
     deployment: Deployment
     policy: str
-    #: The figures of each seed.
+    #: The metrics of each seed.
     figures: Sequence[Figures]
 
     def cells(self) -> Sequence[str]:
         """Return the row's cells under ``HEAD``."""
-        detections = [each for one in self.figures for each in one.detections]
+        detections = [each for result in self.figures for each in result.detections]
         after_s = [each.after_s for each in detections]
         sent = [float(each.requests) for each in detections]
-        added_s = [each for one in self.figures for each in one.added_s]
+        added_s = [each for result in self.figures for each in result.added_s]
         times = "-"
         counts = "-"
         if detections:
@@ -91,18 +91,18 @@
 
     @property
     def goodput(self) -> float:
-        """Return answers in time as a share of the oracle's, over all seeds."""
+        """Return requests answered in time as a share of the oracle's, over all seeds."""
         answered = sum(each.answered for each in self.figures)
         return answered / max(1, sum(each.oracle_answered for each in self.figures))
 
     @property
     def latency_p99_s(self) -> float:
-        """Return the time within which 99 of 100 answered requests were answered."""
-        return quantile([each for one in self.figures for each in one.latency_s], 0.99)
+        """Return the 99th percentile latency of answered requests, in seconds."""
+        return quantile([each for result in self.figures for each in result.latency_s], 0.99)
 
     @property
     def retries(self) -> float:
-        """Return the greatest share of further attempts in any seed."""
+        """Return the largest share of retries in any seed."""
         return max(each.retry_share for each in self.figures)
 
     def _share(self, counts: Sequence[int]) -> str:
@@ -111,24 +111,24 @@
 
 def play(
     recipe: Recipe, deployment: Deployment, seeds: Sequence[int], factories: Sequence[PolicyFactory]
-) -> tuple[list[Row], list[Unmet]]:
-    """Play a recipe's seeds under each policy; stated outcomes are checked for the first."""
-    found: dict[str, list[Figures]] = {factory.name: [] for factory in factories}
-    unmet: list[Unmet] = []
+) -> tuple[list[Row], list[UnmetExpectation]]:
+    """Replay a recipe's seeds under each policy; check expectations for the first policy only."""
+    results: dict[str, list[Figures]] = {factory.name: [] for factory in factories}
+    unmet: list[UnmetExpectation] = []
     for seed in seeds:
         trace = recipe.trace(deployment, seed)
         oracle = Oracle(trace).run()
         for factory in factories:
-            made = figures(trace, Player(trace, factory, seed).run(), oracle)
-            found[factory.name].append(made)
+            result = figures(trace, Player(trace, factory, seed).run(), oracle)
+            results[factory.name].append(result)
             if factory is not factories[0]:
                 continue
             for each in trace.expectations:
-                value = float(getattr(made, each.figure))
+                value = float(getattr(result, each.figure))
                 if not each.least <= value <= each.most:
                     name = trace.header.name
-                    unmet.append(Unmet(name, each.figure, value, each.least, each.most))
-    rows = [Row(recipe.name, deployment, name, each) for name, each in found.items()]
+                    unmet.append(UnmetExpectation(name, each.figure, value, each.least, each.most))
+    rows = [Row(recipe.name, deployment, name, each) for name, each in results.items()]
     return rows, unmet
 
 
--- a/src/egretrail/trace/_upstreams.py
+++ b/src/egretrail/trace/_upstreams.py
@@ -1,4 +1,4 @@
-"""Fake upstreams: slots, a short queue, shedding beyond it, and the faults of a trace."""
+"""Simulated upstreams with slots, a bounded queue, load shedding and the faults of a trace."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -11,38 +11,38 @@
 from egretrail.trace._records import Fault, FaultKind, TracedRequest, TracedUpstream
 from egretrail.upstream import AttemptOutcome
 
-#: How long opening a connection to an upstream that is gone takes to fail.
+#: Time after which connecting to an unreachable upstream fails.
 CONNECT_TIMEOUT_S = 1.0
-#: How long a cold start keeps an upstream slow.
-_COLD_S = 5.0
+#: Time for which an upstream is slow after a cold start.
+_COLD_START_S = 5.0
 #: Share of its work after which a failing request is answered.
-_FAIL_WORK = 0.3
+_FAILED_WORK_SHARE = 0.3
 
 
 @dataclass(slots=True, eq=False)
 class Visit:
-    """One attempt as an upstream sees it."""
+    """One attempt at an upstream."""
 
-    #: Which request it is, an index into the trace.
+    #: The request's index in the trace.
     number: int
     #: The request.
     request: TracedRequest
-    #: The instance that sent it, an index.
+    #: The index of the instance that sent it.
     member: int
-    #: When its answer is of no more use.
+    #: When the request's deadline passes.
     deadline_s: float
-    #: Where it was sent.
+    #: The receiving upstream.
     upstream: UpstreamName
-    #: Called once with the outcome, when it leaves the upstream.
-    ended: Callable[[AttemptOutcome], None]
-    #: Whether it has ended.
-    done: bool = False
-    #: Whether it occupies a slot.
-    running: bool = False
+    #: Called once with the outcome when the attempt ends.
+    on_ended: Callable[[AttemptOutcome], None]
+    #: Whether the attempt has ended.
+    is_done: bool = False
+    #: Whether the attempt has occupied a slot.
+    has_run: bool = False
 
 
 class FakeUpstream:
-    """One upstream of a trace."""
+    """The simulation of one upstream."""
 
     def __init__(
         self, clock: VirtualClock, traced: TracedUpstream, faults: Sequence[Fault]
@@ -55,12 +55,12 @@
         self._running: set[Visit] = set()
         self._waiting: deque[Visit] = deque()
         self._down_until_s = 0.0
-        self._serials: dict[int, int] = {}
-        #: When each request came, for detection times.
+        self._attempt_counts: dict[int, int] = {}
+        #: Arrival time and sending instance of each request, for detection times.
         self.visits_s: list[tuple[float, int]] = []
 
     def faults_of(self, request: TracedRequest, member: int, now_s: float) -> list[Fault]:
-        """Return the faults that the request would meet, whatever share of requests they hit."""
+        """Return the faults that could affect the request, regardless of their share."""
         return [
             fault
             for fault in self.faults
@@ -71,99 +71,101 @@
             and (fault.kind is not FaultKind.CRASHES or fault.digest == request.digest)
         ]
 
-    def down(self, now_s: float) -> bool:
-        """Return whether it is starting again after a crash."""
+    def is_down(self, now_s: float) -> bool:
+        """Return whether the upstream is restarting after a crash."""
         return now_s < self._down_until_s
 
     def busy(self) -> int:
-        """Return how many requests it works on."""
+        """Return how many requests the upstream is running."""
         return len(self._running)
 
     def work_s(self, request: TracedRequest, member: int, now_s: float) -> float:
-        """Return how long it works on a request that starts now."""
+        """Return how long a request that starts now would run, in seconds."""
         factor = 1.0
         for fault in self.faults_of(request, member, now_s):
             if fault.kind is FaultKind.SLOW or (
-                fault.kind is FaultKind.STARTS and now_s < fault.at_s + _COLD_S
+                fault.kind is FaultKind.STARTS and now_s < fault.at_s + _COLD_START_S
             ):
                 factor *= fault.factor
         return request.work_s * factor
 
     def receive(self, visit: Visit) -> None:
-        """Take a request that has just reached the upstream."""
-        if visit.done:
+        """Accept a request, queue it or end it, by the upstream's state and faults."""
+        if visit.is_done:
             return
         now_s = self._clock.now_s
         self.visits_s.append((now_s, visit.member))
-        faults = self._meeting(visit, now_s)
+        faults = self._active_faults(visit, now_s)
         kinds = {fault.kind for fault in faults}
         if kinds & {FaultKind.UNREACHABLE, FaultKind.PATH}:
-            self._clock.at(now_s + CONNECT_TIMEOUT_S, self._end, visit, AttemptOutcome.REFUSED)
-        elif self.down(now_s):
-            self._end(visit, AttemptOutcome.REFUSED)
+            self._clock.schedule(
+                now_s + CONNECT_TIMEOUT_S, self._finish, visit, AttemptOutcome.REFUSED
+            )
+        elif self.is_down(now_s):
+            self._finish(visit, AttemptOutcome.REFUSED)
         elif FaultKind.LEAVES in kinds:
-            self._end(visit, AttemptOutcome.DRAINING)
+            self._finish(visit, AttemptOutcome.DRAINING)
         elif len(self._running) < self.slots:
             self._start(visit)
         elif len(self._running) + len(self._waiting) < self._connections:
             self._waiting.append(visit)
         else:
-            self._end(visit, AttemptOutcome.SHED)
+            self._finish(visit, AttemptOutcome.SHED)
 
     def cancel(self, visit: Visit) -> None:
-        """Take a cancellation: the slot is free at once."""
-        self._end(visit, AttemptOutcome.CANCELLED)
+        """Cancel an attempt; its slot is free at once."""
+        self._finish(visit, AttemptOutcome.CANCELLED)
 
-    def _meeting(self, visit: Visit, now_s: float) -> list[Fault]:
-        """Return the faults that this attempt meets; drawn from its number, not from the order."""
+    def _active_faults(self, visit: Visit, now_s: float) -> list[Fault]:
+        """Return the faults of this attempt, drawn by its number so that order does not matter."""
         draw = self._draw(visit.number)
-        found = self.faults_of(visit.request, visit.member, now_s)
-        return [fault for fault in found if draw < fault.share]
+        candidates = self.faults_of(visit.request, visit.member, now_s)
+        return [fault for fault in candidates if draw < fault.share]
 
     def _draw(self, number: int) -> float:
-        serial = self._serials.get(number, 0)
-        return xxhash.xxh32_intdigest(f"{self.name} {number} {serial}".encode()) / 2.0**32
+        attempt = self._attempt_counts.get(number, 0)
+        return xxhash.xxh32_intdigest(f"{self.name} {number} {attempt}".encode()) / 2.0**32
 
     def _start(self, visit: Visit) -> None:
         now_s = self._clock.now_s
-        faults = self._meeting(visit, now_s)
-        self._serials[visit.number] = self._serials.get(visit.number, 0) + 1
+        faults = self._active_faults(visit, now_s)
+        self._attempt_counts[visit.number] = self._attempt_counts.get(visit.number, 0) + 1
         self._running.add(visit)
-        visit.running = True
+        visit.has_run = True
         duration_s = self.work_s(visit.request, visit.member, now_s)
         outcome = AttemptOutcome.ANSWERED
         for fault in faults:
             if fault.kind is FaultKind.FAILS:
                 outcome = AttemptOutcome.FAILED
-                duration_s *= _FAIL_WORK * fault.factor
+                duration_s *= _FAILED_WORK_SHARE * fault.factor
             elif fault.kind is FaultKind.CUTS_LARGE:
                 outcome = AttemptOutcome.TRUNCATED
             elif fault.kind is FaultKind.CRASHES:
-                self._clock.at(now_s + duration_s / 2, self._crash, fault)
-        self._clock.at(now_s + duration_s, self._end, visit, outcome)
+                self._clock.schedule(now_s + duration_s / 2, self._crash, fault)
+        self._clock.schedule(now_s + duration_s, self._finish, visit, outcome)
 
     def _crash(self, fault: Fault) -> None:
         self._down_until_s = self._clock.now_s + fault.factor
         for visit in sorted(self._running, key=lambda each: each.number) + list(self._waiting):
-            self._end(visit, AttemptOutcome.LOST)
+            self._finish(visit, AttemptOutcome.LOST)
 
-    def _end(self, visit: Visit, outcome: AttemptOutcome) -> None:
-        if visit.done:
+    def _finish(self, visit: Visit, outcome: AttemptOutcome) -> None:
+        if visit.is_done:
             return
-        visit.done = True
+        visit.is_done = True
         self._running.discard(visit)
-        if not visit.running and visit in self._waiting:
+        if not visit.has_run and visit in self._waiting:
             self._waiting.remove(visit)
-        visit.ended(outcome)
-        self._next()
+        visit.on_ended(outcome)
+        self._start_waiting()
 
-    def _next(self) -> None:
+    def _start_waiting(self) -> None:
         while self._waiting and len(self._running) < self.slots:
             visit = self._waiting.popleft()
-            if visit.done:
+            if visit.is_done:
                 continue
             if visit.deadline_s <= self._clock.now_s:
-                visit.done = True
-                visit.ended(AttemptOutcome.TIMED_OUT)
+                visit.is_done = True
+                visit.on_ended(AttemptOutcome.TIMED_OUT)
                 continue
             self._start(visit)
--- a/src/egretrail/trace/tests/test_trace.py
+++ b/src/egretrail/trace/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The form of a trace, and that playing one is deterministic."""
+"""The text format of traces, and deterministic replay."""
 
 import json
 
@@ -16,8 +16,8 @@
 )
 
 
-class TraceFormTest(EgretrailTestCase):
-    def test_every_recipe_survives_writing_and_reading(self) -> None:
+class TraceFormatTest(EgretrailTestCase):
+    def test_every_recipe_is_unchanged_by_writing_and_reading(self) -> None:
         for recipe in RECIPES:
             trace = recipe.trace(Deployment.HOANG_LIEN, 1)
             read = parse_trace(trace_lines(trace)).unwrap()
@@ -36,11 +36,11 @@
             "missing_field": (["HEADER", json.dumps({"record": "request", "at_s": 1})], 2),
         }
     )
-    def test_a_fault_names_its_line(self, row: tuple[list[str], int]) -> None:
+    def test_an_error_gives_the_invalid_line(self, row: tuple[list[str], int]) -> None:
         lines, at = row
         header = next(trace_lines(RECIPES[0].trace(Deployment.HOANG_LIEN, 1)))
-        found = parse_trace([header if line == "HEADER" else line for line in lines])
-        error = found.unwrap_err()
+        result = parse_trace([header if line == "HEADER" else line for line in lines])
+        error = result.unwrap_err()
         self.assertIsInstance(error, MalformedTrace)
         self.assertEqual(at, error.line)
 
