--- a/src/egretrail/daemon/_request_handler.py
+++ b/src/egretrail/daemon/_request_handler.py
@@ -76,7 +76,7 @@
         network.on(ForwardRequest, self._handle_forwarded)
 
     async def handle(self, incoming: IncomingRequest) -> Answer | Problem:
-        """Answer one request of a caller."""
+        """Return the response to one request of a client, or the problem that prevents it."""
         if not self._routing.caught_up:
             return _NOT_READY
         path = incoming.target.partition("?")[0]
