--- a/src/egretrail/upstream/_suspect_requests.py
+++ b/src/egretrail/upstream/_suspect_requests.py
@@ -4,7 +4,8 @@
 identified by its digest, whatever idempotency key it has. Without the limit, a client that retries
 without pause would take a service down upstream by upstream.
 
-A loss is an attempt whose connection was lost; a request with at least one loss is suspect.
+A loss is an attempt whose connection was lost or whose response was truncated. A request with at
+least one recorded loss is suspect.
 """
 
 from collections import Counter, OrderedDict
@@ -72,16 +73,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Loss:
-    """An upstream that was lost with a request."""
+    """A loss of one upstream with a request."""
 
     #: The upstream.
     upstream: UpstreamName
-    #: When this instance learnt of it.
+    #: Time at which this instance observed the loss or received its report.
     at_s: float
 
 
 class SuspectRequests:
-    """The requests of one service that upstreams were lost with."""
+    """The suspect requests of one service, and the copies of requests in flight."""
 
     def __init__(self, upstreams_per_request: int) -> None:
         self.upstreams_per_request = upstreams_per_request
