--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -40,8 +40,8 @@
 _SLOTS: Sequence[PolicyFactory] = (
     EgretrailFactory(Variant("own slots, demand told")),
     EgretrailFactory(Variant("own slots only", share_slots=False)),
-    EgretrailFactory(Variant("demand told only", home_slots=False)),
-    EgretrailFactory(Variant("independent", home_slots=False, share_slots=False)),
+    EgretrailFactory(Variant("demand told only", assigned_slots=False)),
+    EgretrailFactory(Variant("independent", assigned_slots=False, share_slots=False)),
     EgretrailFactory(Variant("no shared evidence", share_evidence=False)),
 )
 _COMPARISONS = {"standard": _STANDARD, "orders": _ORDERS, "slots": _SLOTS}
--- a/src/egretrail/runtime/tests/test_settings.py
+++ b/src/egretrail/runtime/tests/test_settings.py
@@ -314,8 +314,8 @@
         async def body(fleet: SettingsFleet) -> None:
             driver = fleet.first_driver()
             loop = asyncio.get_running_loop()
-            skipped_s = loop._skipping  # type: ignore[attr-defined]
-            skipped_s.now_s += 60.0
+            selector = loop._clock_selector  # type: ignore[attr-defined]
+            selector.now_s += 60.0
             fleet.store.delay_s = 0.5
             await asyncio.sleep(0.2)
             self.assertFalse(driver.caught_up)
--- a/src/egretrail/testing/_fake_network.py
+++ b/src/egretrail/testing/_fake_network.py
@@ -98,7 +98,9 @@
         except TimeoutError:
             return Err(PeerUnresponsive(peer, timeout_s))
         return (
-            Ok(received) if isinstance(received, reply_type) else Err(PeerUnresponsive(peer, timeout_s))
+            Ok(received)
+            if isinstance(received, reply_type)
+            else Err(PeerUnresponsive(peer, timeout_s))
         )
 
     def send(self, peer: InstanceName, body: Message) -> None:
--- a/src/egretrail/testing/_paused_loop.py
+++ b/src/egretrail/testing/_paused_loop.py
@@ -37,9 +37,9 @@
     """A loop whose timers fire without waiting, in order and deterministically."""
 
     def __init__(self) -> None:
-        self._skipping = _ClockAdvancingSelector()
-        super().__init__(self._skipping)
+        self._clock_selector = _ClockAdvancingSelector()
+        super().__init__(self._clock_selector)
 
     def time(self) -> float:
         """Return the virtual time, in seconds since the loop's start."""
-        return self._skipping.now_s
+        return self._clock_selector.now_s
--- a/src/egretrail/trace/_baselines.py
+++ b/src/egretrail/trace/_baselines.py
@@ -28,7 +28,7 @@
         self._tried: dict[WorkId, list[UpstreamName]] = {}
         self._works: dict[WorkId, Work] = {}
 
-    def listed(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
+    def set_upstreams(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
         """Replace the listed upstreams."""
         self._listed = list(upstreams)
 
@@ -38,7 +38,9 @@
         self._tried[work.work_id] = []
         return self._send(work.work_id, now_s)
 
-    def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
+    def record_attempt_end(
+        self, work_id: WorkId, attempt: Attempt, now_s: float
+    ) -> Sequence[Action]:
         """Retry the request, or finish it."""
         self._in_flight[attempt.upstream] -= 1
         self._record_outcome(attempt, now_s)
--- a/src/egretrail/trace/_egretrail.py
+++ b/src/egretrail/trace/_egretrail.py
@@ -66,7 +66,7 @@
     #: Whether members exchange their demand and divide the slots by it.
     share_slots: bool = True
     #: Whether each member has slots of its own.
-    home_slots: bool = True
+    assigned_slots: bool = True
     #: Whether the members share evidence.
     share_evidence: bool = True
 
@@ -118,7 +118,7 @@
 
     def group_position(self) -> GroupPosition:
         """Return the instance's position in the group."""
-        if not self._variant.home_slots:
+        if not self._variant.assigned_slots:
             return GroupPosition()
         return GroupPosition(self._member, self._size)
 
@@ -155,7 +155,7 @@
         self._next_evidence_s = _EVIDENCE_INTERVAL_S * rng.random()
         self._tickets: dict[tuple[WorkId, UpstreamName], int] = {}
 
-    def listed(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
+    def set_upstreams(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
         """Replace the listed upstreams."""
         self._view.listed = list(upstreams)
         self._health.set_upstreams(upstreams, now_s)
@@ -165,13 +165,15 @@
         """Submit a request that has just arrived."""
         return self.scheduler.submit(work, now_s)
 
-    def started(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
+    def record_attempt_start(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
         """Record an attempt that was sent."""
         ticket = self._health.record_start(upstream, str(work.cost_class), now_s)
         self._tickets[(work.work_id, upstream)] = ticket
         self._view.suspects.record_start(int.from_bytes(work.digest, "big"), upstream)
 
-    def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
+    def record_attempt_end(
+        self, work_id: WorkId, attempt: Attempt, now_s: float
+    ) -> Sequence[Action]:
         """Record the outcome of an attempt and report it to the peers as needed."""
         self._health.record_end(self._tickets.pop((work_id, attempt.upstream)))
         suspects = self._view.suspects
@@ -190,7 +192,7 @@
             work_id, attempt.upstream, ATTEMPT_RESULTS[attempt.outcome], now_s
         )
 
-    def received(self, sender: int, message: object, now_s: float) -> Sequence[Action]:
+    def handle_message(self, sender: int, message: object, now_s: float) -> Sequence[Action]:
         """Handle a message from another member."""
         match message:
             case Evidence():
--- a/src/egretrail/trace/_player.py
+++ b/src/egretrail/trace/_player.py
@@ -165,7 +165,7 @@
         }
         names = [name for name in self._upstreams if name not in unlisted]
         for member in self._members:
-            member.policy.listed(names, now_s)
+            member.policy.set_upstreams(names, now_s)
 
     # Instances
 
@@ -186,7 +186,9 @@
 
     def _receive(self, sender: int, member: _Member, message: object) -> None:
         if not member.is_gone:
-            self._apply_actions(member, member.policy.received(sender, message, self._clock.now_s))
+            self._apply_actions(
+                member, member.policy.handle_message(sender, message, self._clock.now_s)
+            )
 
     def _remove_member(self, member: _Member) -> None:
         """Remove an instance; its requests in flight fail."""
@@ -268,7 +270,7 @@
         visit = Visit(number, request, member.index, work.deadline_s, name, on_ended)
         member.attempts[(work_id, name)] = _Attempt(now_s, visit)
         self.log.requests[number].attempts += 1
-        member.policy.started(name, work, now_s)
+        member.policy.record_attempt_start(name, work, now_s)
         self._clock.schedule(now_s + latency_s, self._upstreams[name].receive, visit)
         self._clock.schedule(work.deadline_s, self._time_out, member, work_id, name)
 
@@ -295,7 +297,7 @@
             request.answer_size_bytes,
             request.idempotent,
         )
-        self._apply_actions(member, member.policy.finished(work.work_id, observed, now_s))
+        self._apply_actions(member, member.policy.record_attempt_end(work.work_id, observed, now_s))
         if outcome is not AttemptOutcome.ANSWERED:
             self._record_ejections(member)
 
--- a/src/egretrail/trace/_policy.py
+++ b/src/egretrail/trace/_policy.py
@@ -25,17 +25,19 @@
         """Submit a request that has just arrived; return the actions to carry out."""
 
     @abc.abstractmethod
-    def finished(self, work_id: WorkId, attempt: Attempt, now_s: float) -> Sequence[Action]:
+    def record_attempt_end(
+        self, work_id: WorkId, attempt: Attempt, now_s: float
+    ) -> Sequence[Action]:
         """Record the outcome of an attempt; return the actions to carry out."""
 
     @abc.abstractmethod
-    def listed(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
+    def set_upstreams(self, upstreams: Sequence[UpstreamName], now_s: float) -> None:
         """Replace the listed upstreams."""
 
-    def started(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
+    def record_attempt_start(self, upstream: UpstreamName, work: Work, now_s: float) -> None:
         """Record that an attempt was sent."""
 
-    def received(self, sender: int, message: object, now_s: float) -> Sequence[Action]:
+    def handle_message(self, sender: int, message: object, now_s: float) -> Sequence[Action]:
         """Handle a message from another member, given by its index."""
         return ()
 
