--- a/src/egretrail/runtime/_evidence.py
+++ b/src/egretrail/runtime/_evidence.py
@@ -105,7 +105,7 @@
 
         After a loss, return once the group has acknowledged the loss or ``ACKNOWLEDGE_LIMIT_S`` has
         passed. Await this before the client gets its final response: a resend then reaches a member
-        that already knows of the loss, unless that member was unreachable.
+        that already knows about the loss, unless that member was unreachable.
         """
         state = self._service(service)
         state.health.record_end(ticket)
--- a/src/egretrail/runtime/_key_generations.py
+++ b/src/egretrail/runtime/_key_generations.py
@@ -139,11 +139,11 @@
     async def _open_at(self, member: Member) -> bool:
         opening = self._home.start_opening()
         body = OpenGeneration(opening)
-        asked = await self._network.ask(member.name, body, GenerationOpened, _OPEN_TIMEOUT_S)
-        if not isinstance(asked, Ok) or asked.ok_value.prefix is None:
+        reply = await self._network.ask(member.name, body, GenerationOpened, _OPEN_TIMEOUT_S)
+        if not isinstance(reply, Ok) or reply.ok_value.prefix is None:
             self._avoid(member.name)
             return False
-        opened = asked.ok_value
+        opened = reply.ok_value
         assert opened.prefix is not None
         now_s = asyncio.get_running_loop().time()
         self._last_witnessed_s = now_s
--- a/src/egretrail/runtime/_key_prefixes.py
+++ b/src/egretrail/runtime/_key_prefixes.py
@@ -31,10 +31,10 @@
     def cached(self, home: Incarnation) -> str | None:
         """Return a home's cached prefix or None; start a refresh if it is not fresh."""
         now_s = asyncio.get_running_loop().time()
-        prefix, asked_s = self._cache.get(home, ("", -_STALE_S))
-        if now_s - asked_s >= _FRESH_S:
+        prefix, fetched_s = self._cache.get(home, ("", -_STALE_S))
+        if now_s - fetched_s >= _FRESH_S:
             self._start_fetch(home)
-        return prefix if now_s - asked_s < _STALE_S else None
+        return prefix if now_s - fetched_s < _STALE_S else None
 
     async def fetch(self, home: Incarnation) -> str | None:
         """Return a home's prefix, asking the home if it is not cached; None when it has none."""
@@ -57,8 +57,8 @@
         return task
 
     async def _fetch_prefix(self, home: Incarnation) -> str | None:
-        asked = await self._network.ask(home.instance, FetchPrefix(), PrefixReply, _TIMEOUT_S)
-        prefix = asked.ok_value.prefix if isinstance(asked, Ok) else None
+        reply = await self._network.ask(home.instance, FetchPrefix(), PrefixReply, _TIMEOUT_S)
+        prefix = reply.ok_value.prefix if isinstance(reply, Ok) else None
         self._cache.pop(home, None)
         if prefix is not None:
             self._cache[home] = (prefix, asyncio.get_running_loop().time())
--- a/src/egretrail/runtime/_keyed.py
+++ b/src/egretrail/runtime/_keyed.py
@@ -93,7 +93,7 @@
         self._network.on(RunKeyed, self._on_run)
         self._network.on(RelayKeyed, self._on_relay)
         self._network.on(AwaitKeyed, self._at_home.on_await)
-        self._network.on(FetchPrefix, self._on_ask_prefix)
+        self._network.on(FetchPrefix, self._on_fetch_prefix)
         self._at_witness.start()
         await self._generations.tick()
         loop = asyncio.get_running_loop()
@@ -188,7 +188,7 @@
         answer = await self._receiver.find_answer(parsed.ok_value, binding, body.request)
         return KeyedReply(KeyStatus.ANSWERED, answer)
 
-    async def _on_ask_prefix(self, _sender: Incarnation, _body: FetchPrefix) -> PrefixReply:
+    async def _on_fetch_prefix(self, _sender: Incarnation, _body: FetchPrefix) -> PrefixReply:
         return PrefixReply(self.own_prefix())
 
 
--- a/src/egretrail/runtime/_keyed_home.py
+++ b/src/egretrail/runtime/_keyed_home.py
@@ -158,9 +158,9 @@
         peer = key.prefix.witness.instance
         body = RecordKey(key, binding)
         for _ in range(_RECORD_TRIES):
-            asked = await self._network.ask(peer, body, RecordReply, _RECORD_TIMEOUT_S)
-            if isinstance(asked, Ok):
-                return asked.ok_value.verdict
+            reply = await self._network.ask(peer, body, RecordReply, _RECORD_TIMEOUT_S)
+            if isinstance(reply, Ok):
+                return reply.ok_value.verdict
         return None
 
     async def _run(self, key: IdempotencyKey, request: RequestEnvelope, until_s: float) -> None:
@@ -193,8 +193,8 @@
         if witness is None:
             return True
         body = StoreOutcome(settled.key, settled.binding, settled.answer)
-        asked = await self._network.ask(witness.instance, body, Acknowledged, _STORE_TIMEOUT_S)
-        if isinstance(asked, Ok):
+        reply = await self._network.ask(witness.instance, body, Acknowledged, _STORE_TIMEOUT_S)
+        if isinstance(reply, Ok):
             self._home.on_outcome_confirmed(settled.key)
             return True
         self._home.on_outcome_send_failed(settled.key)
--- a/src/egretrail/runtime/_keyed_receiver.py
+++ b/src/egretrail/runtime/_keyed_receiver.py
@@ -28,7 +28,7 @@
 
 #: Time limit for a witness, which may itself wait for the home before it replies.
 _WITNESS_TIMEOUT_S = HOME_TIMEOUT_S + 0.3
-#: Added to the deadline, by which the home has its answer, for the way back.
+#: Added to the deadline for the transfer of the reply: the home has the response by the deadline.
 _TRANSFER_S = 0.25
 #: An exchange that fails sooner than this had a broken stream; the home itself is not gone.
 _BROKEN_STREAM_LIMIT_S = HOLD_S / 2
@@ -91,10 +91,10 @@
         """Return the home's reply; None when it cannot be reached."""
         body: RunKeyed | AwaitKeyed = RunKeyed(request)
         while True:
-            asked = await self._ask_with_retry(key.prefix.home.instance, body, HOME_TIMEOUT_S)
-            if not isinstance(asked, Ok):
+            result = await self._ask_with_retry(key.prefix.home.instance, body, HOME_TIMEOUT_S)
+            if not isinstance(result, Ok):
                 return None
-            reply = asked.ok_value
+            reply = result.ok_value
             if reply.standing is not KeyStatus.RUNNING or _has_passed(until_s):
                 return reply
             body = AwaitKeyed(key, binding)
@@ -103,11 +103,11 @@
         self, peer: InstanceName, body: Message, timeout_s: float
     ) -> Result[KeyedReply, PeerFailure]:
         """Ask a peer, and ask again if only the stream broke; these requests are idempotent."""
-        asked_s = asyncio.get_running_loop().time()
-        asked = await self._network.ask(peer, body, KeyedReply, timeout_s)
-        waited_s = asyncio.get_running_loop().time() - asked_s
-        if isinstance(asked, Ok) or waited_s > _BROKEN_STREAM_LIMIT_S:
-            return asked
+        sent_s = asyncio.get_running_loop().time()
+        reply = await self._network.ask(peer, body, KeyedReply, timeout_s)
+        waited_s = asyncio.get_running_loop().time() - sent_s
+        if isinstance(reply, Ok) or waited_s > _BROKEN_STREAM_LIMIT_S:
+            return reply
         return await self._network.ask(peer, body, KeyedReply, timeout_s)
 
     async def _ask_witness(
@@ -133,8 +133,8 @@
             return await self._witness.query(key, binding)
         peer = key.prefix.witness.instance
         body = QueryWitness(key, binding)
-        asked = await self._ask_with_retry(peer, body, _WITNESS_TIMEOUT_S)
-        return asked.ok_value if isinstance(asked, Ok) else None
+        reply = await self._ask_with_retry(peer, body, _WITNESS_TIMEOUT_S)
+        return reply.ok_value if isinstance(reply, Ok) else None
 
     async def _relay(self, key: IdempotencyKey, request: RequestEnvelope) -> Answer | None:
         """Have another instance look for the answer, in case only this one is partitioned.
@@ -148,8 +148,8 @@
         if not alive or request.deadline_s <= 0:
             return None
         peer = self._rng.choice(alive).name
-        asked = await self._network.ask(peer, RelayKeyed(request), KeyedReply, request.deadline_s)
-        return asked.ok_value.answer if isinstance(asked, Ok) else None
+        reply = await self._network.ask(peer, RelayKeyed(request), KeyedReply, request.deadline_s)
+        return reply.ok_value.answer if isinstance(reply, Ok) else None
 
     async def _complete_answer(self, key: IdempotencyKey, binding: bytes, answer: Answer) -> Answer:
         """Return the home's answer, or the witness's copy if the home no longer holds the body."""
--- a/src/egretrail/runtime/_keyed_witness.py
+++ b/src/egretrail/runtime/_keyed_witness.py
@@ -64,12 +64,12 @@
             return KeyedReply(KeyStatus.ANSWERED, answer)
         body = AwaitKeyed(key, binding)
         home = key.prefix.home.instance
-        asked = await self._network.ask(home, body, KeyedReply, HOME_TIMEOUT_S)
-        if isinstance(asked, Ok) and asked.ok_value.standing is KeyStatus.RUNNING:
-            return asked.ok_value
-        if isinstance(asked, Ok) and asked.ok_value.answer not in (None, KEY_REUSED):
-            self._record_outcome(key, binding, asked.ok_value.answer)
-        home_ended = isinstance(asked, Ok) and asked.ok_value.standing is KeyStatus.NOT_HERE
+        reply = await self._network.ask(home, body, KeyedReply, HOME_TIMEOUT_S)
+        if isinstance(reply, Ok) and reply.ok_value.standing is KeyStatus.RUNNING:
+            return reply.ok_value
+        if isinstance(reply, Ok) and reply.ok_value.answer not in (None, KEY_REUSED):
+            self._record_outcome(key, binding, reply.ok_value.answer)
+        home_ended = isinstance(reply, Ok) and reply.ok_value.standing is KeyStatus.NOT_HERE
         # The home may have sent the outcome in the meantime.
         answer = self._witness.on_query(key, binding)
         return KeyedReply(
--- a/src/egretrail/runtime/_membership.py
+++ b/src/egretrail/runtime/_membership.py
@@ -90,7 +90,7 @@
         """Read the list, join through a few instances on it, and start probing."""
         self._network.on(Ping, self._on_ping)
         self._network.on(IndirectPing, self._on_indirect_ping)
-        self._network.on(SyncRequest, self._on_sync_ask)
+        self._network.on(SyncRequest, self._on_sync_request)
         await self.read_list()
         await self._join()
         self._spawn(self._probe_forever())
@@ -241,10 +241,10 @@
         if known is None or known.number == UNKNOWN_INCARNATION:
             return
         helpers = self._plan.helpers(self._table.peers(), target, self._tuning.indirect_probes)
-        ask = IndirectPing(target, known)
+        request = IndirectPing(target, known)
         wait_s = timeout_s + self._tuning.probe_timeout_s
         replies = await asyncio.gather(
-            *(self._network.ask(helper, ask, IndirectPong, wait_s) for helper in helpers)
+            *(self._network.ask(helper, request, IndirectPong, wait_s) for helper in helpers)
         )
         answered = [reply.ok_value for reply in replies if isinstance(reply, Ok)]
         self._slowness.record_miss(1 if helpers and not answered else 0)
@@ -257,11 +257,11 @@
 
     async def _ping(self, target: InstanceName, timeout_s: float) -> bool:
         ping = Ping(self._table.own, self._rumours_for(target))
-        answer = await self._network.ask(target, ping, Pong, timeout_s)
-        if isinstance(answer, Err):
+        reply = await self._network.ask(target, ping, Pong, timeout_s)
+        if isinstance(reply, Err):
             return False
-        self._table.record_contact(answer.ok_value.sender, _now_s())
-        self._apply_rumours(answer.ok_value.rumours)
+        self._table.record_contact(reply.ok_value.sender, _now_s())
+        self._apply_rumours(reply.ok_value.rumours)
         return True
 
     def _rumours_for(self, peer: InstanceName) -> Sequence[Rumour]:
@@ -288,14 +288,14 @@
         self._apply_rumours(ping.rumours)
         return Pong(self._table.own, self._rumours_for(sender.instance))
 
-    async def _on_indirect_ping(self, _: Incarnation, ask: IndirectPing) -> IndirectPong:
-        self._table.merge_rumour(ask.known, _now_s())
-        reached = await self._ping(ask.target, self._tuning.probe_timeout_s)
-        return IndirectPong(self._table.rumour(ask.target) if reached else None)
+    async def _on_indirect_ping(self, _: Incarnation, request: IndirectPing) -> IndirectPong:
+        self._table.merge_rumour(request.known, _now_s())
+        reached = await self._ping(request.target, self._tuning.probe_timeout_s)
+        return IndirectPong(self._table.rumour(request.target) if reached else None)
 
-    async def _on_sync_ask(self, _: Incarnation, ask: SyncRequest) -> SyncReply:
+    async def _on_sync_request(self, _: Incarnation, request: SyncRequest) -> SyncReply:
         limit = self._tuning.sync_rumours
-        return SyncReply(self._table.differing_rumours(ask.digests, limit, self._rng))
+        return SyncReply(self._table.differing_rumours(request.digests, limit, self._rng))
 
     async def _sync_forever(self) -> None:
         while True:
@@ -305,9 +305,9 @@
                 await self._sync(self._rng.choice(peers))
 
     async def _sync(self, peer: InstanceName) -> bool:
-        ask = SyncRequest(self._table.digests())
+        request = SyncRequest(self._table.digests())
         wait_s = self._tuning.probe_timeout_s * 2 * self._slowness.factor
-        reply = await self._network.ask(peer, ask, SyncReply, wait_s)
+        reply = await self._network.ask(peer, request, SyncReply, wait_s)
         if isinstance(reply, Err):
             return False
         self._apply_rumours(reply.ok_value.rumours)
--- a/src/egretrail/runtime/_report.py
+++ b/src/egretrail/runtime/_report.py
@@ -42,7 +42,7 @@
         self._view = view
         self._settings_revision = settings_revision
         self._objectives = objectives
-        network.on(FetchReport, self._on_report_ask)
+        network.on(FetchReport, self._on_fetch_report)
 
     async def gather(self) -> FleetReport:
         """Ask every known instance; return all counts, and the instances that did not reply."""
@@ -62,7 +62,7 @@
             )
         return reply.ok_value if isinstance(reply, Ok) else None
 
-    async def _on_report_ask(self, _sender: Incarnation, _ask: FetchReport) -> Message:
+    async def _on_fetch_report(self, _sender: Incarnation, _request: FetchReport) -> Message:
         return self._own_report()
 
     def _own_report(self) -> InstanceReport:
--- a/src/egretrail/runtime/_rights.py
+++ b/src/egretrail/runtime/_rights.py
@@ -27,13 +27,14 @@
 from egretrail.store import Store
 from egretrail.upstream import EjectionRights
 
-#: While a service has ejections, its group's members ask each other at this interval, so that an
-#: answer is renewed about four times before it expires.
+#: While a service has ejections, its group's members ask each other at this interval, so that a
+#: reply is renewed about four times before it expires.
 _ASK_PERIOD_S = 1.0
 #: Without ejections, one random member is asked at this interval, in case every hint was lost.
 _IDLE_ASK_PERIOD_S = 15.0
 #: How long after a hint a service counts as having ejections.
 _HINT_S = 5.0
+#: Time limit for a peer's reply.
 _ASK_TIMEOUT_S = 1.0
 #: Interval at which each member checks its share of a service's rights in the store. With 3,500
 #: services of 8 members each this takes about 230 of the store's 2,000 reads a second. A change of
@@ -89,10 +90,10 @@
     async def start(self) -> None:
         """Start handling messages of peers, asking them and registering rights."""
         self._started_s = _now_s()
-        self._network.on(FetchEjections, self._on_ejections_ask)
-        self._network.on(EjectionsChanged, self._on_changed)
-        self._network.on(RequestRight, self._on_right_ask)
-        self._network.on(RequestPromise, self._on_promise_ask)
+        self._network.on(FetchEjections, self._on_fetch_ejections)
+        self._network.on(EjectionsChanged, self._on_ejections_changed)
+        self._network.on(RequestRight, self._on_request_right)
+        self._network.on(RequestPromise, self._on_request_promise)
         self._spawn(self._ask_forever())
         self._spawn(self._register_forever())
 
@@ -205,16 +206,16 @@
             self._spawn(self._ask(service, state, self._rng.choice(peers)))
 
     async def _ask(self, service: ServiceName, state: ServiceRights, peer: InstanceName) -> None:
-        asked_s = _now_s()
-        ask = FetchEjections(service)
-        reply = await self._network.ask(peer, ask, EjectionsReply, _ASK_TIMEOUT_S)
+        sent_s = _now_s()
+        request = FetchEjections(service)
+        reply = await self._network.ask(peer, request, EjectionsReply, _ASK_TIMEOUT_S)
         if isinstance(reply, Err):
             return
-        answer = reply.ok_value
-        state.honoured.record_reply(peer, answer.ejections, asked_s)
+        ejections_reply = reply.ok_value
+        state.honoured.record_reply(peer, ejections_reply.ejections, sent_s)
         member = self._membership.member(peer)
         peer_is_leaving = member is not None and member.state is MemberState.LEAVING
-        if peer_is_leaving and answer.free and not self._leaving:
+        if peer_is_leaving and ejections_reply.free and not self._leaving:
             await self._request_right(service, state, peer)
 
     async def _obtain(self, service: ServiceName, state: ServiceRights) -> None:
@@ -231,8 +232,8 @@
     ) -> bool:
         if not state.holder.is_warmed_up(_now_s()):
             return False
-        ask = RequestRight(service, self._allowance(service))
-        reply = await self._network.ask(peer, ask, RightTransfer, _ASK_TIMEOUT_S)
+        request = RequestRight(service, self._allowance(service))
+        reply = await self._network.ask(peer, request, RightTransfer, _ASK_TIMEOUT_S)
         if isinstance(reply, Err) or reply.ok_value.right is None:
             return False
         return state.holder.accept(reply.ok_value.right, _now_s())
@@ -251,27 +252,31 @@
                     await self._registrar.register(service, state, needed=False)
             await asyncio.sleep(_ASK_PERIOD_S * 2 * self._rng.uniform(0.8, 1.2))
 
-    async def _on_ejections_ask(self, _: Incarnation, ask: FetchEjections) -> EjectionsReply:
-        state = self._rights_of(ask.service)
+    async def _on_fetch_ejections(self, _: Incarnation, request: FetchEjections) -> EjectionsReply:
+        state = self._rights_of(request.service)
         now_s = _now_s()
         return EjectionsReply(
-            ask.service, state.holder.report_ejections(now_s), state.holder.transferable(now_s)
+            request.service, state.holder.report_ejections(now_s), state.holder.transferable(now_s)
         )
 
-    async def _on_changed(self, sender: Incarnation, hint: EjectionsChanged) -> None:
+    async def _on_ejections_changed(self, sender: Incarnation, hint: EjectionsChanged) -> None:
         if hint.service not in self._source.services():
             return
         state = self._rights_of(hint.service)
         state.last_hint_s = _now_s()
         self._spawn(self._ask(hint.service, state, sender.instance))
 
-    async def _on_right_ask(self, sender: Incarnation, ask: RequestRight) -> RightTransfer:
-        holder = self._rights_of(ask.service).holder
-        return RightTransfer(ask.service, holder.transfer(sender.instance, ask.allowance, _now_s()))
+    async def _on_request_right(self, sender: Incarnation, request: RequestRight) -> RightTransfer:
+        holder = self._rights_of(request.service).holder
+        return RightTransfer(
+            request.service, holder.transfer(sender.instance, request.allowance, _now_s())
+        )
 
-    async def _on_promise_ask(self, _: Incarnation, ask: RequestPromise) -> PromiseReply:
+    async def _on_request_promise(self, _: Incarnation, request: RequestPromise) -> PromiseReply:
         return PromiseReply(
-            self._rights_of(ask.service).holder.refuse_unless_held(ask.number, ask.epoch)
+            self._rights_of(request.service).holder.refuse_unless_held(
+                request.number, request.epoch
+            )
         )
 
     def _spawn(self, coroutine: Any) -> None:
--- a/src/egretrail/runtime/_rights_registrar.py
+++ b/src/egretrail/runtime/_rights_registrar.py
@@ -192,8 +192,8 @@
         return _now_s() - started_s <= self._timing.reissue_window_s
 
     async def _promises(self, name: InstanceName, service: ServiceName, right: Right) -> bool:
-        ask = RequestPromise(service, right.number, right.epoch)
-        reply = await self._network.ask(name, ask, PromiseReply, _ASK_TIMEOUT_S)
+        request = RequestPromise(service, right.number, right.epoch)
+        reply = await self._network.ask(name, request, PromiseReply, _ASK_TIMEOUT_S)
         return isinstance(reply, Ok) and not reply.ok_value.holds
 
 
--- a/src/egretrail/runtime/_settings_peers.py
+++ b/src/egretrail/runtime/_settings_peers.py
@@ -70,8 +70,8 @@
         """Start handling messages of peers."""
         self._network.on(SettingsRun, self._on_run)
         self._network.on(CompareSettings, self._on_compare)
-        self._network.on(FetchDifference, self._on_differ)
-        self._network.on(QueryInForce, self._on_ask_in_force)
+        self._network.on(FetchDifference, self._on_fetch_difference)
+        self._network.on(QueryInForce, self._on_query_in_force)
 
     async def stop(self) -> None:
         """Cancel running comparisons."""
@@ -138,11 +138,11 @@
             async with semaphore:
                 request = QueryInForce(path, generation)
                 timeout_s = self._policy.ask_timeout_s
-                answer = await self._network.ask(name, request, InForceReply, timeout_s)
-            if isinstance(answer, Err):
+                reply = await self._network.ask(name, request, InForceReply, timeout_s)
+            if isinstance(reply, Err):
                 silent.append(name)
             else:
-                (have if answer.ok_value.in_force else lack).append(name)
+                (have if reply.ok_value.in_force else lack).append(name)
 
         names = [member.name for member in self._view.members()]
         await asyncio.gather(*(ask(name) for name in names if name != self._own.instance))
@@ -161,17 +161,17 @@
         before: tuple[int, Sequence[int]] | None = None
         while idle_rounds < _IDLE_ROUNDS_LIMIT:
             root = self._state.catalogue.tree.root
-            asked_s = asyncio.get_running_loop().time()
+            sent_s = asyncio.get_running_loop().time()
             request = self._comparison_request(root)
-            answer = await self._network.ask(
+            reply = await self._network.ask(
                 peer, request, SettingsCompared, self._policy.ask_timeout_s
             )
-            if isinstance(answer, Err):
+            if isinstance(reply, Err):
                 return False
-            compared = answer.ok_value
+            compared = reply.ok_value
             self._state.catalogue.record_lost_writes(compared.lost_upto_revision)
             if not compared.buckets:
-                return self._record_agreement(compared, asked_s)
+                return self._record_agreement(compared, sent_s)
             if len(compared.buckets) != BUCKETS or not await self._pull(peer, compared.buckets):
                 return False
             idle_rounds = idle_rounds + 1 if before == (root, compared.buckets) else 0
@@ -182,14 +182,14 @@
         catalogue = self._state.catalogue
         return CompareSettings(root, catalogue.complete_revision, catalogue.lost_upto_revision)
 
-    def _record_agreement(self, compared: SettingsCompared, asked_s: float) -> bool:
+    def _record_agreement(self, compared: SettingsCompared, sent_s: float) -> bool:
         # Both held the same live paths when the peer replied, so this instance holds all changes
         # that the peer had received.
         self._state.record_complete_upto(compared.complete_revision)
         if compared.confirmed_age_s is not None:
-            self._state.record_confirmation(asked_s - compared.confirmed_age_s)
+            self._state.record_confirmation(sent_s - compared.confirmed_age_s)
         if compared.caught_up:
-            self._state.compared_at_s = asked_s
+            self._state.compared_at_s = sent_s
         return compared.caught_up
 
     async def _pull(self, peer: InstanceName, theirs: Sequence[int]) -> bool:
@@ -197,10 +197,10 @@
         buckets = self._limit_buckets(catalogue.tree.differing(theirs))
         request = FetchDifference(buckets, catalogue.marks(buckets))
         timeout_s = self._policy.ask_timeout_s
-        answer = await self._network.ask(peer, request, SettingsDifference, timeout_s)
-        if isinstance(answer, Err):
+        reply = await self._network.ask(peer, request, SettingsDifference, timeout_s)
+        if isinstance(reply, Err):
             return False
-        found = answer.ok_value
+        found = reply.ok_value
         self._state.apply(found.changes)
         # Paths that the peer holds in an older state, or requests, are sent back as held here.
         older = [
@@ -251,11 +251,11 @@
             confirmed_age_s=None if confirmed_at_s is None else now_s - confirmed_at_s,
         )
 
-    async def _on_differ(self, _: Incarnation, body: FetchDifference) -> Message | None:
+    async def _on_fetch_difference(self, _: Incarnation, body: FetchDifference) -> Message | None:
         limit_bytes = self._policy.reply_limit_bytes
         buckets = [number for number in body.buckets if 0 <= number < BUCKETS]
         found = self._state.catalogue.difference(buckets, body.marks, limit_bytes)
         return SettingsDifference(found.changes, found.wanted)
 
-    async def _on_ask_in_force(self, _: Incarnation, body: QueryInForce) -> Message | None:
+    async def _on_query_in_force(self, _: Incarnation, body: QueryInForce) -> Message | None:
         return InForceReply(self._state.catalogue.has_in_force(body.path, body.generation))
--- a/src/egretrail/runtime/_upstream_client.py
+++ b/src/egretrail/runtime/_upstream_client.py
@@ -30,7 +30,7 @@
         "upgrade",
     }
 )
-#: Response header by which an upstream states that it did not run a request: ``shed`` or
+#: Response header in which an upstream states that it did not run a request: ``shed`` or
 #: ``draining``.
 STATE_HEADER = "X-Upstream-State"
 REQUEST_ID_HEADER = "X-Request-Id"
--- a/src/egretrail/runtime/_upstream_list.py
+++ b/src/egretrail/runtime/_upstream_list.py
@@ -96,9 +96,9 @@
 
     async def start(self) -> None:
         """Subscribe to list reads and start polling; call this before starting the membership."""
-        self._network.on(FetchListedUpstreams, self._on_upstreams_ask)
+        self._network.on(FetchListedUpstreams, self._on_fetch_listed_upstreams)
         self._network.on(ListedUpstreams, self._on_listed)
-        self._network.on(FetchDrainSigns, self._on_drains_ask)
+        self._network.on(FetchDrainSigns, self._on_fetch_drain_signs)
         self._network.on(DrainSigns, self._on_signs)
         self._membership.subscribe_to_list(self._on_list)
         self._spawn(self._poll_forever())
@@ -243,13 +243,13 @@
         if not readers:
             return
         reader = self._rng.choice(readers)
-        asked_s = _now_s()
+        sent_s = _now_s()
         reply = await self._network.ask(
             reader, FetchListedUpstreams(service), ListedUpstreams, _ASK_TIMEOUT_S
         )
         if isinstance(reply, Ok) and reply.ok_value.age_s is not None:
             listed = reply.ok_value
-            read_s = asked_s - (listed.age_s or 0.0)
+            read_s = sent_s - (listed.age_s or 0.0)
             self._directory.apply_rows(service, listed.rows, read_s, _now_s())
 
     async def _ask_signs(self, service: ServiceName) -> None:
@@ -263,18 +263,20 @@
         if isinstance(reply, Ok):
             self._directory.merge_signs(service, reply.ok_value.signs, _now_s())
 
-    async def _on_upstreams_ask(self, _: Incarnation, ask: FetchListedUpstreams) -> ListedUpstreams:
-        rows = self._all_rows.get(ask.service, [])
+    async def _on_fetch_listed_upstreams(
+        self, _: Incarnation, request: FetchListedUpstreams
+    ) -> ListedUpstreams:
+        rows = self._all_rows.get(request.service, [])
         age_s = None if self._read_s is None else _now_s() - self._read_s
-        return ListedUpstreams(ask.service, rows, age_s)
+        return ListedUpstreams(request.service, rows, age_s)
 
     async def _on_listed(self, _: Incarnation, listed: ListedUpstreams) -> None:
         if listed.age_s is not None:
             now_s = _now_s()
             self._directory.apply_rows(listed.service, listed.rows, now_s - listed.age_s, now_s)
 
-    async def _on_drains_ask(self, _: Incarnation, ask: FetchDrainSigns) -> DrainSigns:
-        return DrainSigns(ask.service, self._directory.drain_signs(ask.service, _now_s()))
+    async def _on_fetch_drain_signs(self, _: Incarnation, request: FetchDrainSigns) -> DrainSigns:
+        return DrainSigns(request.service, self._directory.drain_signs(request.service, _now_s()))
 
     async def _on_signs(self, _: Incarnation, body: DrainSigns) -> Acknowledged:
         self._directory.merge_signs(body.service, body.signs, _now_s())
