--- a/scaffolding/tests/test_gateway_settings.py
+++ b/scaffolding/tests/test_gateway_settings.py
@@ -17,7 +17,7 @@
 from scaffolding.tests.gateway_harness import ROUTES, FleetHarness, GatewayTest
 
 _ROOT = Path(__file__).resolve().parents[2]
-#: Longer than two polls of the settings file, by which a change without a signal is found.
+#: Longer than two polls of the settings file, which find a change without a signal.
 _TWO_POLLS_S = 5.0
 #: Time-out that ends a hanging test; a healthy process needs a fraction of it.
 _HANG_TIMEOUT_S = 20.0
--- a/src/egretrail/cluster/_config_freshness.py
+++ b/src/egretrail/cluster/_config_freshness.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionEcho:
-    """The last section received from a hub, returned to the hub so that it knows of the receipt."""
+    """The last section received from a hub, returned to the hub to confirm the receipt."""
 
     #: The address of the hub.
     hub: str
--- a/src/egretrail/cluster/_hub_election.py
+++ b/src/egretrail/cluster/_hub_election.py
@@ -9,6 +9,7 @@
 #: The additional time that each further instance of the hub order waits for its predecessors to
 #: take over.
 _SUCCESSION_DELAY_S = 0.3
+#: The delay does not grow beyond this many such steps.
 _SUCCESSION_STEPS_MAX = 5
 #: Without an acknowledgement of heartbeats for this time, the network path to the hub is taken as
 #: broken.
@@ -47,7 +48,8 @@
     #: When the newest heartbeat that the hub acknowledged was sent, or when the hub was first
     #: followed if that is later.
     acknowledged_s: float = float("-inf")
-    _direct_s: float = field(default=float("-inf"))
+    #: When a heartbeat was last sent to the preferred next hop in addition to the one in use.
+    _preferred_sent_s: float = field(default=float("-inf"))
 
     def accepts_hub(self, hub: str, order: Sequence[str], now_s: float) -> bool:
         """Return whether to apply a hub's sections.
@@ -100,9 +102,9 @@
             self.next_hop = None
             return others[:_FALLBACK_TARGETS]
         preferred = self._preferred_next_hop(order)
-        if self.next_hop == preferred or now_s - self._direct_s < _DIRECT_INTERVAL_S:
+        if self.next_hop == preferred or now_s - self._preferred_sent_s < _DIRECT_INTERVAL_S:
             return [self.next_hop]
-        self._direct_s = now_s
+        self._preferred_sent_s = now_s
         return [self.next_hop, preferred]
 
     def _preferred_next_hop(self, order: Sequence[str]) -> str:
--- a/src/egretrail/daemon/_execution.py
+++ b/src/egretrail/daemon/_execution.py
@@ -50,7 +50,7 @@
 from egretrail.settings import RouteSettings
 from egretrail.upstream import Attempt, AttemptOutcome
 
-_CAUSES: Mapping[type[SchedulerRefusal], RefusalCause] = {
+_REFUSAL_CAUSES: Mapping[type[SchedulerRefusal], RefusalCause] = {
     NoUsableUpstream: RefusalCause.NO_UPSTREAM,
     WouldWaitTooLong: RefusalCause.QUEUE_FULL,
     OverFairShare: RefusalCause.QUEUE_FULL,
@@ -77,7 +77,8 @@
     envelope: RequestEnvelope
     route: RouteSettings
     idempotent: bool
-    digest: int
+    #: The first 64 bits of the request digest.
+    short_digest: int
     deadline_s: float
     response: asyncio.Future[Answer]
     tasks: dict[UpstreamName, asyncio.Task[None]] = field(default_factory=dict)
@@ -101,7 +102,7 @@
         self._evidence = evidence
         self._client = client
         self._accounting = accounting
-        self._prefix = request_id_prefix
+        self._request_id_prefix = request_id_prefix
         self._request_numbers = itertools.count(1)
         self._running: dict[WorkId, _RunningRequest] = {}
         self._wakeup_timers: dict[str, asyncio.TimerHandle] = {}
@@ -115,7 +116,7 @@
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         digest = request_digest(request)
-        work_id = WorkId(f"{self._prefix}-{next(self._request_numbers):x}")
+        work_id = WorkId(f"{self._request_id_prefix}-{next(self._request_numbers):x}")
         idempotent = request.method in route.idempotent_methods
         work = Work(
             work_id=work_id,
@@ -175,7 +176,9 @@
         started_s = loop.time()
         state = running.state
         kind = f"{running.envelope.route} {running.envelope.method}"
-        ticket = self._evidence.record_attempt_start(state.name, upstream, running.digest, kind)
+        ticket = self._evidence.record_attempt_start(
+            state.name, upstream, running.short_digest, kind
+        )
         result = UpstreamResult(AttemptOutcome.CANCELLED)
         try:
             result = await self._send(running, work_id, upstream)
@@ -186,7 +189,7 @@
                 outcome=result.outcome,
                 latency_s=loop.time() - started_s,
                 started_s=started_s,
-                request_digest=running.digest,
+                request_digest=running.short_digest,
                 request_kind=kind,
                 caller=running.envelope.caller_id,
                 answer_size_bytes=len(result.body),
@@ -227,7 +230,7 @@
         """Return the refusal for the client; its outcome is UNKNOWN if an attempt may have run."""
         may_have_run = any(not result.certainly_not_run for result in running.results.values())
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
-        cause = _CAUSES[type(refusal)]
+        cause = _REFUSAL_CAUSES[type(refusal)]
         _log.debug("refused", service=running.state.name, cause=cause.value, why=str(refusal))
         return Refusal(outcome, cause, refusal.retry_after_s)
 
--- a/src/egretrail/daemon/_service_state.py
+++ b/src/egretrail/daemon/_service_state.py
@@ -190,5 +190,5 @@
 
 
 def short_digest(digest: bytes) -> int:
-    """Return a request digest's first 64 bits, by which instances count and exchange requests."""
+    """Return a request digest's first 64 bits, with which instances count and exchange requests."""
     return int.from_bytes(digest[:8], "big")
--- a/src/egretrail/diagnosis/_losses.py
+++ b/src/egretrail/diagnosis/_losses.py
@@ -15,7 +15,7 @@
 class LossReason(enum.Enum):
     """Why a request was lost or late; the values are the texts that the command prints."""
 
-    #: The failure by which this instance began to suspect the upstream.
+    #: The failure that made this instance begin to suspect the upstream.
     FIRST_FAILURE = "failed: first failure of an upstream"
     #: The request was a trial of a suspected upstream.
     TRIAL = "failed: trial of a doubted upstream"
--- a/src/egretrail/dispatch/_quotas.py
+++ b/src/egretrail/dispatch/_quotas.py
@@ -21,8 +21,8 @@
 
 #: The rate at which an account sends is measured over this time.
 _DEMAND_WINDOW_S = 1.0
-#: The same for a sudden increase, which must be noticed at once; this rather overestimates the
-#: rate.
+#: The same for a sudden increase, which must be noticed at once; so short a time tends to
+#: overestimate the rate.
 _SURGE_WINDOW_S = 0.25
 #: Longest time until the requests that other instances admit are known. If the quota covers all
 #: requests of this time, none has to be refused.
@@ -52,6 +52,7 @@
 COUNT_MODULUS = 1 << 16
 #: Most requests that an instance admits at once in excess of its share.
 _CREDIT_MAX = 2.0
+#: Shortest Retry-After of a request that exceeds its quota.
 _RETRY_MIN_S = 0.1
 #: A window whose past is unknown is filled in steps of this time.
 _FILL_STEP_S = 0.25
@@ -176,11 +177,13 @@
     sent: SlidingSum
     #: Requests that this instance sent in the window.
     own_sent: SlidingSum
-    #: All requests of this instance, and the part of them that the zone's reports include.
+    #: All requests of this instance.
     own: AccountCounter = field(default_factory=AccountCounter)
+    #: The part of them that the zone's reports include.
     acknowledged: AccountCounts = AccountCounts()
     #: Requests that the fleet received.
     received: SlidingSum = field(default_factory=lambda: SlidingSum(_DEMAND_WINDOW_S))
+    #: The same over the shorter window in which a sudden increase shows.
     received_surge: SlidingSum = field(default_factory=lambda: SlidingSum(_SURGE_WINDOW_S))
     #: The demand when all zones last reported.
     last_demand_per_s: float = 0.0
@@ -333,7 +336,7 @@
         then on. What they reported before stays counted, so no account loses quota at once.
         """
         if share < _MINORITY_SHARE:
-            # A partitioned instance knows only of its own requests.
+            # A partitioned instance knows only its own requests.
             own = window.own_sent
             expiring_per_s = own.expiring(now_s, _EXPIRY_HORIZON_S) / _EXPIRY_HORIZON_S
             return _RemainingQuota(limit * share - own.total(now_s), expiring_per_s)
--- a/src/egretrail/dispatch/_retry_budget.py
+++ b/src/egretrail/dispatch/_retry_budget.py
@@ -108,7 +108,7 @@
         """Return whether this instance has a retry left of its own share of the budget.
 
         Guards against a restart of a third of the instances, one after the other. Instances that
-        have just started know of no earlier retries, and would use the whole constant allowance
+        have just started know no earlier retries, and would use the whole constant allowance
         again.
         """
         requests = self._total(self._own_requests, service, now_s)
--- a/src/egretrail/dispatch/tests/test_retry_budget.py
+++ b/src/egretrail/dispatch/tests/test_retry_budget.py
@@ -65,7 +65,7 @@
         self.assertGreater(len(retries), 0.02 * len(requests))
 
     def test_a_rolling_restart_does_not_exceed_the_budget(self) -> None:
-        """Restarted instances know of no earlier retries and must not use the allowance again."""
+        """Restarted instances know no earlier retries and must not use the allowance again."""
         slack, rng = 190.0, random.Random(3)
         fleet = {number: FleetRetryBudget(_RATIO, _WINDOW_S, slack) for number in range(40)}
         requests: list[float] = []
--- a/src/egretrail/dispatch/tests/test_trials.py
+++ b/src/egretrail/dispatch/tests/test_trials.py
@@ -75,7 +75,7 @@
         self._failure_periods = 0
 
     def run(self, length_s: float) -> ReplayFigures:
-        """Replay so many seconds."""
+        """Replay the given number of seconds."""
         now_s, sent, in_time, failed = 0.0, 0, 0, 0
         while now_s < length_s:
             now_s += self._rng.expovariate(self._rate)
--- a/src/egretrail/fleet/_slowness.py
+++ b/src/egretrail/fleet/_slowness.py
@@ -1,4 +1,4 @@
-"""Local health of an observer, by which its timeouts are scaled."""
+"""Local health of an observer, which scales its timeouts."""
 
 from egretrail.fleet._tuning import MembershipTuning
 
--- a/src/egretrail/gateway/_config_state.py
+++ b/src/egretrail/gateway/_config_state.py
@@ -22,7 +22,7 @@
         self.chunked: ChunkedConfig | None = None
         #: The routes of the configuration.
         self.routes: RouteTable | None = None
-        #: The latency objectives by which its requests are ranked.
+        #: The latency objectives that rank its requests.
         self.urgency: ObjectiveTable | None = None
         #: The client accounts of the configuration; None if requests need no API key.
         self.accounts: AccountTable | None = None
--- a/src/egretrail/gateway/_executor.py
+++ b/src/egretrail/gateway/_executor.py
@@ -15,11 +15,12 @@
 from egretrail.http1 import Request, Response
 from egretrail.traffic import Route, choose_service, request_priority
 
-#: The time-out of a request whose client does not say how long it waits.
+#: The time-out of a request whose client does not state how long it waits.
 _DEFAULT_WAIT_S = 30.0
 #: An idempotent request is hedged (sent to a second upstream as well) when it takes this many times
 #: the typical duration. With the normal spread of durations, one request in twenty does.
 _HEDGE_FACTOR = 2.2
+#: A hedge is sent no sooner than this after the first attempt.
 _HEDGE_MIN_S = 0.2
 #: A request is not retried after more than this many attempts that could not send anything.
 _UNSENT_MAX = 3
@@ -28,8 +29,9 @@
 _START_CONFIG_WAIT_S = 0.6
 #: Retry-After of an instance without a configuration: when it expects to have one.
 _STARTING_RETRY_S = 0.3
-#: For this long after the start, requests wait until the configuration is confirmed as current.
-_START_FRESHNESS_WAIT_S = 2.0
+#: For this long after the start, arriving requests wait until the configuration is confirmed as
+#: current. A request waits at most ``_START_CONFIG_WAIT_S`` in all.
+_START_FRESHNESS_PERIOD_S = 2.0
 #: Retry-After of an instance that cannot accept API keys since its configuration is not confirmed
 #: as current. By then it is confirmed again, or clients use another instance.
 _UNCONFIRMED_RETRY_S = 0.5
@@ -94,7 +96,7 @@
 
     def _awaits_freshness(self) -> bool:
         view = self._view
-        has_just_started = self._loop.time() - self._started_s < _START_FRESHNESS_WAIT_S
+        has_just_started = self._loop.time() - self._started_s < _START_FRESHNESS_PERIOD_S
         return (
             view.requires_fresh_config and has_just_started and not view.config_confirmed.is_set()
         )
--- a/src/egretrail/gateway/_hub_links.py
+++ b/src/egretrail/gateway/_hub_links.py
@@ -18,7 +18,7 @@
 from egretrail.gateway._timer import Timer
 from egretrail.gateway._view import FleetView
 
-#: A zone of so many instances receives ten sections a second, since work takes longer than that.
+#: A zone of this many instances receives ten sections a second, since work takes longer than that.
 #: The interval grows with the zone, so that each instance receives the same amount: in a larger
 #: zone, more upstreams change in each interval. The maximum is well below the silence after which a
 #: hub is taken as failed.
--- a/src/egretrail/gateway/_instance_listing.py
+++ b/src/egretrail/gateway/_instance_listing.py
@@ -45,7 +45,7 @@
         self.invalidate()
 
     def invalidate(self) -> None:
-        """Discard what is known of the stored list, so that it is written again."""
+        """Discard what is known about the stored list, so that it is written again."""
         self._listed = frozenset()
 
     async def run(self) -> None:
--- a/src/egretrail/gateway/_peers.py
+++ b/src/egretrail/gateway/_peers.py
@@ -30,23 +30,25 @@
 from egretrail.gateway._timer import Timer
 from egretrail.gateway._view import FleetView
 
-#: How often the hub role is checked and whether a heartbeat is due.
+#: Interval of the checks of the hub role and of whether a heartbeat is due.
 _TICK_S = 0.1
-#: How often silent instances are removed; the silence that leads to removal takes whole seconds.
+#: Interval of the removal of silent instances; the silence that leads to removal takes whole
+#: seconds.
 _EXPIRE_S = 0.4
 #: A longer gap between two checks means that this whole process was paused, so that peers only seem
 #: to have been silent.
 _PAUSE_S = 0.5
-#: In a zone of so many instances, updates are batched for this time, and in other zones in
+#: In a zone of this many instances, updates are batched for this time, and in other zones in
 #: proportion: a hub then receives 480 heartbeats a second at any zone size.
 _BATCH_S = 0.1
 _BATCH_INSTANCES = 48
+#: Updates are batched for at least this time, also in small zones.
 _BATCH_MIN_S = 0.03
-#: The batching time of updates that bear on an upstream's health.
+#: The batching time of updates that concern an upstream's health.
 _URGENT_BATCH_S = 0.02
 #: A heartbeat with such updates is followed by another one after this time, in case it was lost.
 _REPEAT_S = 0.03
-#: Each heartbeat also goes to the seeds until a hub and so many peers are known. The first
+#: Each heartbeat also goes to the seeds until a hub and this many peers are known. The first
 #: heartbeats go to them in any case, at a shorter interval: an instance that has just started can
 #: serve clients only once it has learned the configuration from a peer.
 _SEEDED_PEERS = 3
@@ -54,15 +56,15 @@
 _FIRST_INTERVAL_S = 0.06
 #: Later a hub contacts one seed a second, which rejoins two parts of a fleet that lost each other.
 _SEED_INTERVAL_HEARTBEATS = 4
-#: A hub announces itself to so many of its successors in the hub order, and to so many instances
-#: from which it receives nothing: one of them may be the hub of another part of the zone or know
-#: that hub.
+#: A hub announces itself to this many of its successors in the hub order, and to this many
+#: instances from which it receives nothing: one of them may be the hub of another part of the zone
+#: or know that hub.
 _GREETED_PEERS = 2
 #: The maximum number of remembered relay clients; forgetting them costs one message each.
 _RELAY_CLIENTS_MAX = 1_000
 #: Sections are relayed for this long to instances whose heartbeats were relayed here.
 _RELAY_CLIENT_S = 1.0
-#: A datagram that has been relayed so often is dropped.
+#: A datagram that has been relayed this many times is dropped.
 _HOPS_MAX = 3
 
 
--- a/src/egretrail/gateway/_store_sync.py
+++ b/src/egretrail/gateway/_store_sync.py
@@ -147,7 +147,7 @@
 
         Each call costs money and the store's rate is shared, so the hubs of two zones read for all;
         a zone whose reader is refused learns changes from the others. An instance reads for itself
-        while it knows of no peer in contact with the store. It does so in time slots, since all
+        while it knows no peer in contact with the store. It does so in time slots, since all
         instances would otherwise query a store that is down. It also reads after its start if no
         peer has sent it the configuration.
         """
--- a/src/egretrail/gateway/_transfer_slots.py
+++ b/src/egretrail/gateway/_transfer_slots.py
@@ -15,7 +15,7 @@
 #: The maximum wait for a slot; less than the time after which a requester asks another peer as
 #: well.
 _WAIT_S = 0.2
-#: A source is named to so many requesters, then rests for the time that those transfers take.
+#: A source is named to this many requesters, then rests for the time that those transfers take.
 _REFERRALS_PER_SOURCE, _REST_S = 3, 0.25
 #: After this time a source is no longer named, since it may be gone.
 _SOURCE_S = 5.0
--- a/src/egretrail/gateway/_view.py
+++ b/src/egretrail/gateway/_view.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the fleet: configuration, upstreams, peers and their reports."""
+"""What one instance knows about the fleet: configuration, upstreams, peers and their reports."""
 
 import asyncio
 import random
@@ -213,7 +213,7 @@
     ) -> None:
         """Apply another instance's confirmation of a version, sent in reply to an own message.
 
-        ``asked_s`` is when that message was sent, by the clock of the confirmation; None if
+        ``sent_s`` is when that message was sent, by the clock of the confirmation; None if
         unknown.
         """
         if age_s is not None and sent_s is not None and config_version <= self.config_version:
--- a/src/egretrail/gateway/tests/test_config_during_failures.py
+++ b/src/egretrail/gateway/tests/test_config_during_failures.py
@@ -24,7 +24,7 @@
 _WEAK_BYTES_PER_S, _STRONG_BYTES_PER_S = 1.25e6, 25e6
 _SLOW_BYTES_PER_S = 0.625e6
 _ROUTES, _FIRST_ROUTES = 3_600, 18
-#: The bytes that an instance receives of a configuration with so many more routes.
+#: The bytes that an instance receives of a configuration with this many more routes.
 _CONFIG_BYTES = 60_000
 #: The zone that receives configurations only from other zones, and the zones that read the store.
 _REMOTE, _READING = 2, (0, 1)
--- a/src/egretrail/gateway/tests/test_limit_exchange.py
+++ b/src/egretrail/gateway/tests/test_limit_exchange.py
@@ -12,7 +12,7 @@
 
 #: Limits are enforced from this long after they were first advertised.
 _ENFORCED_AFTER_S = 3.0
-#: In any window of this length, an upstream gets at most this multiple of its limit plus so many
+#: In any window of this length, an upstream gets at most this multiple of its limit plus this many
 #: requests.
 _WINDOW_S, _FACTOR, _SLACK = 4.0, 1.5, 5
 _UPSTREAMS, _SLOTS, _WORK_S = 14, 3, 0.24
--- a/src/egretrail/idempotency/_home.py
+++ b/src/egretrail/idempotency/_home.py
@@ -78,8 +78,11 @@
         self._limits = limits
         self._records = RecordStore(limits)
         self._stopping = False
+        #: How many openings were started; the newest one has this number.
         self._openings = 0
+        #: The opening whose reply is awaited; None while none is.
         self._awaited_opening: int | None = None
+        #: Keys whose outcome the witness has not confirmed, least recently sent first.
         self._unconfirmed: dict[IdempotencyKey, None] = {}
 
     @property
--- a/src/egretrail/platform/_contract.py
+++ b/src/egretrail/platform/_contract.py
@@ -19,7 +19,7 @@
 _ATTEMPT_ID = b"x-egretrail-attempt-id"
 #: The remaining time in milliseconds, counted from the arrival of the message; not a point in time.
 _DEADLINE = b"x-egretrail-request-deadline"
-#: The seal by which an upstream marks a complete response as its own.
+#: The seal with which an upstream marks a complete response as its own.
 _RESPONSE_SEAL = b"x-egretrail-response-seal"
 _EXPECTED_INSTANCE = b"x-egretrail-expected-instance"
 #: Comma-separated counts: running requests, queued requests, slots.
--- a/src/egretrail/platform/_store.py
+++ b/src/egretrail/platform/_store.py
@@ -48,7 +48,7 @@
 _CONNECT_TIMEOUT_S = 0.5
 #: Idle connections kept open for later calls.
 _IDLE_CONNECTIONS_MAX = 2
-#: Statuses by which the store says that it did not apply the call.
+#: Statuses with which the store reports that it did not apply the call.
 _UNAVAILABLE_STATUSES = frozenset({429, 503})
 
 
--- a/src/egretrail/report/_messages.py
+++ b/src/egretrail/report/_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which instances exchange their request and ejection counts."""
+"""Messages with which instances exchange their request and ejection counts."""
 
 from dataclasses import dataclass
 
--- a/src/egretrail/service/_scheduler.py
+++ b/src/egretrail/service/_scheduler.py
@@ -53,7 +53,7 @@
     """Admits, queues, dispatches, retries, hedges and refuses the requests for one service.
 
     Event-driven: each call returns the actions for its driver. Every ``Dispatch`` and ``Hedge``
-    is answered by exactly one ``record_attempt_end``, also after ``Abandon`` or ``cancel``.
+    must be followed by exactly one ``record_attempt_end``, also after ``Abandon`` or ``cancel``.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         self._refresh_pool(now_s)
         entry = self._entries.get(work_id)
         actions: list[Action] = []
-        self._record_attempt_end(entry, upstream, result, now_s)
+        self._release_slot(entry, upstream, result, now_s)
         if entry is not None:
             actions += self._after_attempt(entry, upstream, result, now_s)
         actions += self._start_waiting(now_s)
@@ -271,7 +271,7 @@
 
     # Ending
 
-    def _record_attempt_end(
+    def _release_slot(
         self, entry: Entry | None, upstream: UpstreamName, result: AttemptResult, now_s: float
     ) -> None:
         """Release the slot, and record the duration and limit learned from the attempt."""
@@ -351,9 +351,9 @@
         return self._hedges[0][0] if self._hedges else None
 
     def _start_due_hedges(self, now_s: float) -> list[Action]:
-        return list(self._hedge_due_entries(now_s))
+        return list(self._due_hedges(now_s))
 
-    def _hedge_due_entries(self, now_s: float) -> Iterator[Action]:
+    def _due_hedges(self, now_s: float) -> Iterator[Action]:
         """Send slow requests a second time if no request waits and the budget allows it."""
         while (due_s := self._next_hedge_s()) is not None and due_s <= now_s:
             entry = heapq.heappop(self._hedges)[2]
--- a/src/egretrail/settings/_change.py
+++ b/src/egretrail/settings/_change.py
@@ -19,7 +19,7 @@
 
     @property
     def order(self) -> tuple[int, str]:
-        """Return the sort key by which the newer of two changes of a path is found.
+        """Return the sort key that finds the newer of two changes of a path.
 
         The id matters only if a restored store has assigned one revision twice: every instance then
         keeps the same one of the two changes.
--- a/src/egretrail/settings/_digest.py
+++ b/src/egretrail/settings/_digest.py
@@ -1,4 +1,4 @@
-"""A two-level hash tree by which two instances find the buckets of paths that differ."""
+"""A two-level hash tree with which two instances find the buckets of paths that differ."""
 
 import struct
 from collections.abc import Sequence
--- a/src/egretrail/settings/_messages.py
+++ b/src/egretrail/settings/_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which instances replicate settings."""
+"""Messages with which instances replicate settings."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/src/egretrail/upstream/_evidence.py
+++ b/src/egretrail/upstream/_evidence.py
@@ -1,4 +1,4 @@
-"""The message by which the members of a group exchange their observations of upstreams."""
+"""The message with which the members of a group exchange their observations of upstreams."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 
     #: Digest of the upstream's name.
     upstream: int
-    #: Number of ejections of the upstream that the member knows of.
+    #: Number of ejections of the upstream that the member knows.
     generation: int
     #: Remaining time of the member's own ejection; 0: not ejected.
     ejected_s: float
@@ -59,7 +59,7 @@
     sequence: int
     #: Digests of the upstreams' names.
     upstreams: Sequence[int]
-    #: Number of ejections that the sender knows of; tells evidence from before an ejection from
+    #: Number of ejections that the sender knows; tells evidence from before an ejection from
     #: evidence after it.
     generations: Sequence[int]
     #: Remaining time of the sender's own ejection, in tenths of a second; 0: not ejected.
--- a/src/egretrail/upstream/_lifecycle.py
+++ b/src/egretrail/upstream/_lifecycle.py
@@ -72,7 +72,7 @@
         self.state = UpstreamState.RAMPING if ramping else UpstreamState.HEALTHY
         self.cause = Cause.START if ramping else Cause.NONE
         self.since_s = now_s
-        #: Number of ejections that this member knows of, its own and those adopted from peers.
+        #: Number of ejections that this member knows, its own and those adopted from peers.
         self.generation = 0
         #: End of the ejection or trial.
         self.until_s = 0.0
--- a/src/egretrail/upstream/_outlier_detection.py
+++ b/src/egretrail/upstream/_outlier_detection.py
@@ -28,11 +28,11 @@
 #: The other members' evidence alone must reach this part of the ejection score. Otherwise one
 #: member's bad network path would eject an upstream that works for all others. A single chance
 #: failure at another member must not suffice.
-_CORROBORATION = 0.42
+_CORROBORATION_SHARE = 0.42
 
 #: With fewer attempts than this at the other members, missing evidence there does not clear the
 #: upstream.
-_MIN_ELSEWHERE = 2.0
+_MIN_ATTEMPTS_ELSEWHERE = 2.0
 
 #: The comparison with the other upstreams may be this old while no decision depends on it; the
 #: cost of computing it is proportional to the number of upstreams.
@@ -40,27 +40,29 @@
 
 #: A sequential failure test counts only when a window reaches this part of the ejection score: the
 #: sum keeps what was added at the onset of a fault that affects all upstreams.
-_CONFIRMATION = 0.3
+_CONFIRMATION_SHARE = 0.3
 
 #: Failures eject only when their score against the other upstreams' attempts since the onset of
 #: these failures reaches this part of the ejection score.
-_ONSET = 0.85
+_ONSET_SHARE = 0.85
 
-#: With fewer failures than this in the group's short windows, the failure period has ended.
+#: With fewer failures than this in the group's short windows, the failure period has ended. The
+#: counts of a window decay, so they are not whole numbers.
 _FADED_FAILURES = 0.4
 
 #: While the other upstreams fail at this share, a failure does not fail a trial.
 _TRIAL_OTHERS_SHARE = 0.5
 
 #: The other upstreams' mean CUSUM score is subtracted this many times from one upstream's score: at
-#: the onset of a fault that affects all upstreams, all scores rise.
+#: the onset of a fault that affects all upstreams, all scores rise. Their slowness is subtracted
+#: with the same factor.
 _COMMON_FACTOR = 2.0
 
 #: CUSUM scores below this are not evaluated: the lowest ejection score is several times higher.
 _MIN_CUSUM = 1.5
 
-#: A failure of at least this weight fails a trial.
-_TRIAL_FAILURE = 0.5
+#: A trial fails at this many failures: one failure is enough, even after its count has decayed.
+_TRIAL_MIN_FAILURES = 0.5
 
 
 class Conclusion(enum.Enum):
@@ -95,8 +97,9 @@
 
     #: Whether the evidence consists of failures or of slowness.
     cause: Cause
-    #: The group's score, and this member's alone.
+    #: The group's score.
     score: float
+    #: This member's score alone.
     own_score: float
     #: The score without the member whose evidence is the strongest.
     elsewhere_score: float
@@ -105,7 +108,7 @@
 
     @property
     def strongest_score(self) -> float:
-        """Return the higher one of the group's and this member's score."""
+        """Return the higher of the group's and this member's score."""
         return max(self.score, self.own_score)
 
 
@@ -153,7 +156,7 @@
     def has_trial_failed(self, upstream: TrackedUpstream, now_s: float) -> bool:
         """Return whether the trial's requests show that the upstream still fails or is slow."""
         seen = upstream.observed.pooled_long(upstream.lifecycle.generation, now_s)
-        if seen.failures >= _TRIAL_FAILURE:
+        if seen.failures >= _TRIAL_MIN_FAILURES:
             others_share = self._recorder.latest.expected_failure_share(upstream.name)
             return others_share < _TRIAL_OTHERS_SHARE
         tolerated = 1.5 * self._thresholds.tolerated_log
@@ -197,14 +200,14 @@
         needed = self._thresholds.eject_score * upstream.lifecycle.threshold_factor
         windows = self._windows(upstream, observations)
         common = self._cusum.others(upstream.name).times(_COMMON_FACTOR)
-        confirmed = _confirmed(windows, needed)
+        confirmed = _confirmed_causes(windows, needed)
         cusum = _cusum_results(observations.cusum, common)
         results = [*windows, *(result for result in cusum if result.cause in confirmed)]
         seen_elsewhere = min(
             sum(members, NOTHING).attempts - max(counts.attempts for counts in members)
             for members in (observations.short, observations.long)
         )
-        known_elsewhere = seen_elsewhere >= _MIN_ELSEWHERE
+        known_elsewhere = seen_elsewhere >= _MIN_ATTEMPTS_ELSEWHERE
         worst = max(
             (_conclude(result, needed, known_elsewhere) for result in results), key=_severity
         )
@@ -230,7 +233,7 @@
             return True
         failures = sum(observations.long, NOTHING).failures
         others_share = recent.others_failure_share(upstream.name, observed.failing_since_s)
-        return onset_score(failures, others_share) >= _ONSET * needed
+        return onset_score(failures, others_share) >= _ONSET_SHARE * needed
 
     def _windows(
         self, upstream: TrackedUpstream, observations: _MemberObservations
@@ -281,11 +284,11 @@
     )
 
 
-def _confirmed(windows: Iterable[_TestResult], needed: float) -> set[Cause]:
+def _confirmed_causes(windows: Iterable[_TestResult], needed: float) -> set[Cause]:
     """Return the causes whose sequential tests are confirmed by a window."""
     confirmed = set()
     for result in windows:
-        part = _CONFIRMATION if result.cause is Cause.FAILURES else 0.0
+        part = _CONFIRMATION_SHARE if result.cause is Cause.FAILURES else 0.0
         if result.strongest_score > part * needed:
             confirmed.add(result.cause)
     return confirmed
@@ -314,7 +317,7 @@
 
 def _conclude(result: _TestResult, needed: float, known_elsewhere: bool) -> Assessment:
     """Return the assessment that follows from one test: upstream, this member's path, or none."""
-    if not known_elsewhere or result.elsewhere_score >= _CORROBORATION * needed:
+    if not known_elsewhere or result.elsewhere_score >= _CORROBORATION_SHARE * needed:
         conclusion = Conclusion.UPSTREAM if result.score >= needed else Conclusion.NOTHING
         return Assessment(conclusion, result.score / needed, result.cause)
     if result.own_is_strongest:
--- a/src/egretrail/upstream/_rights.py
+++ b/src/egretrail/upstream/_rights.py
@@ -1,4 +1,4 @@
-"""The interface by which health decisions obtain permission for an ejection."""
+"""The interface through which health decisions obtain permission for an ejection."""
 
 import abc
 
