--- a/src/egretrail/runtime/_demand.py
+++ b/src/egretrail/runtime/_demand.py
@@ -32,7 +32,7 @@
 
     async def start(self) -> None:
         """Start exchanging demand reports."""
-        self._network.on(DemandReport, self._on_report)
+        self._network.on(DemandReport, self._on_demand_report)
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
@@ -76,7 +76,7 @@
             if member.name != own:
                 self._network.send(member.name, report)
 
-    async def _on_report(self, sender: Incarnation, report: DemandReport) -> Message | None:
+    async def _on_demand_report(self, sender: Incarnation, report: DemandReport) -> Message | None:
         now_s = asyncio.get_running_loop().time()
         peer_demands = self._peers.setdefault(report.service, PeerDemands())
         peer_demands.record_report(sender.instance, report, now_s)
--- a/src/egretrail/runtime/_keyed.py
+++ b/src/egretrail/runtime/_keyed.py
@@ -90,8 +90,8 @@
 
     async def start(self) -> None:
         """Start handling messages of peers, and open the first generation."""
-        self._network.on(RunKeyed, self._on_run)
-        self._network.on(RelayKeyed, self._on_relay)
+        self._network.on(RunKeyed, self._on_run_keyed)
+        self._network.on(RelayKeyed, self._on_relay_keyed)
         self._network.on(AwaitKeyed, self._at_home.on_await)
         self._network.on(FetchPrefix, self._on_fetch_prefix)
         self._at_witness.start()
@@ -168,7 +168,7 @@
             stored = await self._at_home.store_outcomes_again()
             pause_s = _STORE_PAUSE_S if stored else min(pause_s * 2, _STORE_PAUSE_LIMIT_S)
 
-    async def _on_run(self, _sender: Incarnation, body: RunKeyed) -> KeyedReply:
+    async def _on_run_keyed(self, _sender: Incarnation, body: RunKeyed) -> KeyedReply:
         parsed = parse_key(body.request.key or "", self._fleet_key)
         if isinstance(parsed, Err):
             return KeyedReply(KeyStatus.ANSWERED, _invalid(parsed.err_value))
@@ -180,7 +180,7 @@
             self._at_home.start_request(key, binding, body.request)
         )
 
-    async def _on_relay(self, _sender: Incarnation, body: RelayKeyed) -> KeyedReply:
+    async def _on_relay_keyed(self, _sender: Incarnation, body: RelayKeyed) -> KeyedReply:
         parsed = parse_key(body.request.key or "", self._fleet_key)
         if isinstance(parsed, Err):
             return KeyedReply(KeyStatus.ANSWERED, _invalid(parsed.err_value))
--- a/src/egretrail/runtime/_keyed_witness.py
+++ b/src/egretrail/runtime/_keyed_witness.py
@@ -41,11 +41,11 @@
 
     def start(self) -> None:
         """Start handling messages of homes and receivers."""
-        self._network.on(OpenGeneration, self._on_open)
-        self._network.on(RecordKey, self._on_record)
-        self._network.on(StoreOutcome, self._on_outcome)
-        self._network.on(CloseGeneration, self._on_close)
-        self._network.on(QueryWitness, self._on_query)
+        self._network.on(OpenGeneration, self._on_open_generation)
+        self._network.on(RecordKey, self._on_record_key)
+        self._network.on(StoreOutcome, self._on_store_outcome)
+        self._network.on(CloseGeneration, self._on_close_generation)
+        self._network.on(QueryWitness, self._on_query_witness)
 
     def refuse_new(self) -> None:
         """Open no more generations: this process is stopping."""
@@ -80,22 +80,26 @@
         if answer is not None:
             self._witness.on_outcome(key.prefix.home, key, binding, answer)
 
-    async def _on_open(self, sender: Incarnation, body: OpenGeneration) -> GenerationOpened:
+    async def _on_open_generation(
+        self, sender: Incarnation, body: OpenGeneration
+    ) -> GenerationOpened:
         if self._stopping:
             return GenerationOpened(body.opening, None)
         now_s = asyncio.get_running_loop().time()
         return GenerationOpened(body.opening, self._witness.open(sender, now_s))
 
-    async def _on_record(self, sender: Incarnation, body: RecordKey) -> RecordReply:
+    async def _on_record_key(self, sender: Incarnation, body: RecordKey) -> RecordReply:
         return RecordReply(self._witness.on_record(sender, body.key, body.binding))
 
-    async def _on_outcome(self, sender: Incarnation, body: StoreOutcome) -> Acknowledged:
+    async def _on_store_outcome(self, sender: Incarnation, body: StoreOutcome) -> Acknowledged:
         self._witness.on_outcome(sender, body.key, body.binding, body.answer)
         return Acknowledged()
 
-    async def _on_close(self, sender: Incarnation, body: CloseGeneration) -> Acknowledged:
+    async def _on_close_generation(
+        self, sender: Incarnation, body: CloseGeneration
+    ) -> Acknowledged:
         self._witness.on_close(sender, body.prefix)
         return Acknowledged()
 
-    async def _on_query(self, _sender: Incarnation, body: QueryWitness) -> KeyedReply:
+    async def _on_query_witness(self, _sender: Incarnation, body: QueryWitness) -> KeyedReply:
         return await self.query(body.key, body.binding)
--- a/src/egretrail/runtime/_request_losses.py
+++ b/src/egretrail/runtime/_request_losses.py
@@ -50,9 +50,9 @@
 
     def start(self) -> None:
         """Start handling messages of peers."""
-        self._network.on(RequestLoss, self._on_loss)
-        self._network.on(RequestAnswered, self._on_answered)
-        self._network.on(FetchRequestLosses, self._on_wanted)
+        self._network.on(RequestLoss, self._on_request_loss)
+        self._network.on(RequestAnswered, self._on_request_answered)
+        self._network.on(FetchRequestLosses, self._on_fetch_request_losses)
 
     async def stop(self) -> None:
         """Cancel all reports in progress."""
@@ -121,15 +121,19 @@
             for loss in reply.ok_value.losses:
                 self._record_loss(loss, observed_here=False)
 
-    async def _on_loss(self, _sender: Incarnation, loss: RequestLoss) -> Message | None:
+    async def _on_request_loss(self, _sender: Incarnation, loss: RequestLoss) -> Message | None:
         self._record_loss(loss, observed_here=False)
         return Acknowledged()
 
-    async def _on_answered(self, _sender: Incarnation, message: RequestAnswered) -> Message | None:
+    async def _on_request_answered(
+        self, _sender: Incarnation, message: RequestAnswered
+    ) -> Message | None:
         self._suspects(message.service).clear(message.request_digest)
         return None
 
-    async def _on_wanted(self, _sender: Incarnation, wanted: FetchRequestLosses) -> Message | None:
+    async def _on_fetch_request_losses(
+        self, _sender: Incarnation, wanted: FetchRequestLosses
+    ) -> Message | None:
         losses = self._suspects(wanted.service).losses(wanted.service)
         return RequestLosses(losses[-_LOSSES_PER_REPLY:])
 
--- a/src/egretrail/runtime/_settings_peers.py
+++ b/src/egretrail/runtime/_settings_peers.py
@@ -68,8 +68,8 @@
 
     def start(self) -> None:
         """Start handling messages of peers."""
-        self._network.on(SettingsRun, self._on_run)
-        self._network.on(CompareSettings, self._on_compare)
+        self._network.on(SettingsRun, self._on_settings_run)
+        self._network.on(CompareSettings, self._on_compare_settings)
         self._network.on(FetchDifference, self._on_fetch_difference)
         self._network.on(QueryInForce, self._on_query_in_force)
 
@@ -227,7 +227,7 @@
             chunk = changes[start : start + step]
             self._network.send(peer, SettingsRun(ChangeRun(0, 0, chunk)))
 
-    async def _on_run(self, sender: Incarnation, body: SettingsRun) -> Message | None:
+    async def _on_settings_run(self, sender: Incarnation, body: SettingsRun) -> Message | None:
         outcome = self._state.apply_run(body.run)
         if outcome.applied:
             self.spread(body.run)
@@ -235,7 +235,7 @@
             self._start_comparison(sender.instance)
         return None
 
-    async def _on_compare(self, _: Incarnation, body: CompareSettings) -> Message | None:
+    async def _on_compare_settings(self, _: Incarnation, body: CompareSettings) -> Message | None:
         catalogue = self._state.catalogue
         catalogue.record_lost_writes(body.lost_upto_revision)
         same = body.root == catalogue.tree.root
--- a/src/egretrail/runtime/_upstream_list.py
+++ b/src/egretrail/runtime/_upstream_list.py
@@ -97,9 +97,9 @@
     async def start(self) -> None:
         """Subscribe to list reads and start polling; call this before starting the membership."""
         self._network.on(FetchListedUpstreams, self._on_fetch_listed_upstreams)
-        self._network.on(ListedUpstreams, self._on_listed)
+        self._network.on(ListedUpstreams, self._on_listed_upstreams)
         self._network.on(FetchDrainSigns, self._on_fetch_drain_signs)
-        self._network.on(DrainSigns, self._on_signs)
+        self._network.on(DrainSigns, self._on_drain_signs)
         self._membership.subscribe_to_list(self._on_list)
         self._spawn(self._poll_forever())
         self._spawn(self._fetch_newly_served_forever())
@@ -270,7 +270,7 @@
         age_s = None if self._read_s is None else _now_s() - self._read_s
         return ListedUpstreams(request.service, rows, age_s)
 
-    async def _on_listed(self, _: Incarnation, listed: ListedUpstreams) -> None:
+    async def _on_listed_upstreams(self, _: Incarnation, listed: ListedUpstreams) -> None:
         if listed.age_s is not None:
             now_s = _now_s()
             self._directory.apply_rows(listed.service, listed.rows, now_s - listed.age_s, now_s)
@@ -278,7 +278,7 @@
     async def _on_fetch_drain_signs(self, _: Incarnation, request: FetchDrainSigns) -> DrainSigns:
         return DrainSigns(request.service, self._directory.drain_signs(request.service, _now_s()))
 
-    async def _on_signs(self, _: Incarnation, body: DrainSigns) -> Acknowledged:
+    async def _on_drain_signs(self, _: Incarnation, body: DrainSigns) -> Acknowledged:
         self._directory.merge_signs(body.service, body.signs, _now_s())
         return Acknowledged()
 
