--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -2,7 +2,7 @@
 
 ``python -m benchmarks.fleet 44 133 300`` simulates fleets of these sizes on a paused clock, with
 requests at each instance and some failures. For each size it prints the traffic that an instance
-receives, the cross-zone traffic, the CPU share and the time until instances know of a failure.
+receives, the cross-zone traffic, the CPU share and the time until instances detect a failure.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 #: Failures per second over the whole fleet: those of a service with 3 of 10 upstreams failing.
 _FAILURES_PER_S = 6.0
 _GOOD = UpstreamHealth.GOOD
-#: Interval of the checks whether an instance knows of a failure, and the time after which the
+#: Interval of the checks whether an instance has detected a failure, and the time after which the
 #: check gives up.
 _POLL_S = 0.01
 _POLL_LIMIT_S = 2.0
--- a/scaffolding/upstream.py
+++ b/scaffolding/upstream.py
@@ -18,14 +18,15 @@
 
 from scaffolding.listening import serve
 
-#: Factor by which a slow upstream is slower.
+#: A slow upstream takes this many times as long.
 _SLOW_FACTOR = 10.0
 #: Number of requests that may wait for a slot before the upstream sheds.
 _BACKLOG = 2
 #: A late upstream responds this long after the request's deadline.
 _LATE_S = 0.2
-#: Factor by which a cold upstream is slower at first, and the time over which it warms up.
+#: A cold upstream takes this many times as long at first.
 _COLD_FACTOR = 3.0
+#: The time over which a cold upstream warms up.
 _WARMUP_S = 2.0
 
 
--- a/src/egretrail/dispatch/_quotas.py
+++ b/src/egretrail/dispatch/_quotas.py
@@ -146,9 +146,9 @@
 
     #: The sliding window in which requests are counted.
     window_s: float = 5.0
-    #: The part of a quota by which a window may exceed it.
+    #: How far a window may exceed its quota, as a part of the quota.
     over: float = 0.0
-    #: The number of requests by which a window may exceed it in addition.
+    #: How many requests beyond that a window may exceed its quota.
     slack: float = 0.0
 
     def limit(self, account: ClientAccount) -> float:
--- a/src/egretrail/trace/_sites.py
+++ b/src/egretrail/trace/_sites.py
@@ -134,7 +134,7 @@
     caller_count: int = 12
     #: Share of all requests that one further, greedy client sends.
     greedy_share: float = 0.0
-    #: Share of requests that are long, and the factor by which they are longer.
+    #: Share of requests that are long, and how many times longer they are.
     long_share: float = 0.0
     long_factor: float = 20.0
     #: Additional weight of the first member over the others' weight of 1.
