--- a/src/egretrail/floor/_holder.py
+++ b/src/egretrail/floor/_holder.py
@@ -42,7 +42,7 @@
     def eject(self, upstream: UpstreamName, allowance: int, now_s: float) -> bool:
         """Assign a right to an upstream; return False when no usable right is held.
 
-        Rights whose number is not below ``ejection_allowance`` are unusable.
+        Rights whose number is not below ``allowance`` are unusable.
         """
         if self.is_ejected(upstream, allowance):
             return True
--- a/src/egretrail/runtime/_settings_peers.py
+++ b/src/egretrail/runtime/_settings_peers.py
@@ -90,7 +90,7 @@
         ]
 
     def _random_others(self, count: int) -> Collection[InstanceName]:
-        """Return random members as of ``others``, without a pass over the whole fleet."""
+        """Return names of random members that ``others`` would list, without a pass over all."""
         members = self._view.members()
         chosen: dict[InstanceName, None] = {}
         for _ in range(_DRAWS * count if members else 0):
